--- a/src/tidegrade/core/_choice.py
+++ b/src/tidegrade/core/_choice.py
@@ -1,4 +1,4 @@
-"""Which endpoint leads the next term."""
+"""The choice of the primary of the next term."""
 
 import attrs
 
@@ -8,12 +8,12 @@
 
 @attrs.frozen
 class Candidates:
-    """What is known when the next primary is chosen.
+    """The state from which the next primary is chosen.
 
-    ``fenced`` are the reports of endpoints that have promised the next
-    term; ``to_come`` the members of the next term; ``leaving`` those that
-    get no new work. ``may_wait`` says that there is time left for a
-    replica to catch up.
+    ``fenced`` holds the reports of the endpoints that have promised the
+    next term, ``to_come`` the members of the next term and ``leaving`` the
+    endpoints that get no new work. ``may_wait`` says that there is time
+    left for a replica to catch up.
     """
 
     fenced: dict[str, _types.EndpointReport]
@@ -23,12 +23,13 @@
 
 
 def choose(row: _row.GroupRow, known: Candidates) -> str | None:
-    """Give the endpoint to promote, or None while none is safe.
+    """Return the endpoint to promote, or None if none is safe yet.
 
-    A confirmed write is held by a majority of the members, so any fenced
-    majority contains an endpoint that has it; the newest of them has all.
-    If that one may not lead, another must catch up with it, unless the
-    eligible ones are a majority by themselves.
+    A majority of the members holds every confirmed write, so any fenced
+    majority contains an endpoint that has it, and the one with the newest
+    data has all of them. If that endpoint is not eligible, another must
+    first catch up with it, unless the eligible endpoints are a majority by
+    themselves.
     """
     if len(set(known.fenced) & row.members) < row.majority:
         return None
@@ -52,16 +53,19 @@
 def enough_fenced(
     row: _row.GroupRow, fenced: set[str], to_come: frozenset[str]
 ) -> bool:
-    """Tell if majorities of the members now and to come are fenced."""
-    old = len(fenced & row.members) >= row.majority
-    new = len(fenced & to_come) >= len(to_come) // 2 + 1
-    return old and new
+    """Return whether enough endpoints are fenced to choose a primary.
+
+    That takes a majority of the current members and one of the next.
+    """
+    current = len(fenced & row.members) >= row.majority
+    upcoming = len(fenced & to_come) >= len(to_come) // 2 + 1
+    return current and upcoming
 
 
 def data_rank(report: _types.EndpointReport) -> tuple[int, int]:
-    """Order endpoints by how new their data is.
+    """Return a sort key for endpoints; the greatest has the newest data.
 
-    The term marked in the data goes first: a longer log of an older term
-    lacks what the newer term has acknowledged.
+    The term stored in the data is compared first, since a longer log of an
+    older term lacks the writes that the newer term has acknowledged.
     """
     return (report.marker, report.received_lsn)
--- a/src/tidegrade/core/_jobs.py
+++ b/src/tidegrade/core/_jobs.py
@@ -1,4 +1,4 @@
-"""Work that a connection to an endpoint carries out, and how it ends."""
+"""The jobs that run on a connection to an endpoint, and their outcomes."""
 
 import enum
 
@@ -9,10 +9,11 @@
 
 @attrs.frozen
 class SessionSetup:
-    """What a connection must be told before a session's statement.
+    """Session state that a connection needs before a session's statement.
 
-    ``reset`` drops all that earlier sessions have set; then ``values``
-    are set and the shapes in ``prepared`` are made known, in this order.
+    ``reset`` discards all state that earlier sessions have set. After that,
+    ``values`` are set and the statements in ``prepared`` are prepared, in
+    this order.
     """
 
     reset: bool = False
@@ -22,15 +23,15 @@
 
 @attrs.frozen
 class StatusJob:
-    """Ask for the endpoint's report alone."""
+    """Get the endpoint's report and run nothing."""
 
 
 @attrs.frozen
 class ReadJob:
-    """Run statements in one read-only transaction, with a report.
+    """Run statements in one read-only transaction and get a report.
 
-    With ``after`` an endpoint that can check it refuses unless its data
-    has reached that position.
+    An endpoint that checks positions refuses the job unless its data has
+    reached ``after``.
     """
 
     statements: tuple[_types.Statement, ...]
@@ -40,7 +41,7 @@
 
 @attrs.frozen
 class WriteJob:
-    """Run one write that commits by itself, for endpoints that can."""
+    """Run one write in autocommit, on endpoints that support it."""
 
     statement: _types.Statement
     setup: SessionSetup = SessionSetup()
@@ -50,9 +51,10 @@
 class StartJob:
     """Begin a transaction, run statements in it and leave it open.
 
-    With ``key`` the first statement records the idempotency key, so that
-    a second run of the same key can't get past it. A ``read_only`` one
-    may run on a replica that has reached ``after``.
+    With ``key``, the transaction first records the idempotency key, so that
+    a second run with the same key can't apply the statements again. A
+    ``read_only`` transaction may run on a replica that has reached
+    ``after``.
     """
 
     statements: tuple[_types.Statement, ...] = ()
@@ -73,9 +75,10 @@
 
 @attrs.frozen
 class CommitJob:
-    """Commit; with ``key``, first keep the results under that key.
+    """Commit the open transaction.
 
-    ``statement`` is the caller's own commit, for endpoints that sign it.
+    With ``key``, the results are first stored under that key. ``statement``
+    is the caller's own commit statement, for endpoints that sign it.
     """
 
     key: str | None = None
@@ -85,31 +88,35 @@
 
 @attrs.frozen
 class RollbackJob:
-    """Roll the open transaction back."""
+    """Roll back the open transaction."""
 
 
 @attrs.frozen
 class SetupJob:
-    """Create the tables the proxy needs and mark the first term."""
+    """Create the proxy's tables and store ``term`` as the first term."""
 
     term: int
 
 
 @attrs.frozen
 class FenceJob:
-    """Raise the endpoint's promise to ``term``; it never goes down."""
+    """Fence earlier terms: raise the endpoint's promised term to ``term``.
+
+    The promised term is monotonic.
+    """
 
     term: int
 
 
 @attrs.frozen
 class PromoteJob:
-    """Stop replication, promote, and mark ``term`` in the data.
+    """Stop replication, promote, and store ``term`` in the data.
 
-    Refused by an endpoint that has promised a later term meanwhile.
-    ``reelected`` says that the endpoint led the former term: its log goes
-    on and nothing is lost. Not ordered from ``until`` on, by this proxy's
-    clock: another supervisor may have promoted with a later term by then.
+    An endpoint that has promised a later term refuses the job.
+    ``reelected`` says that the endpoint was the primary of ``former_term``:
+    its log continues and nothing is lost. The job must start before
+    ``until`` on this proxy's clock; after that, another supervisor may have
+    promoted with a later term.
     """
 
     term: int
@@ -120,13 +127,13 @@
 
 @attrs.frozen
 class FollowJob:
-    """Make a replica follow the primary at this address."""
+    """Make a replica replicate from the primary at this address."""
 
     host: str
     port: int
 
 
-#: The end of a term's log when nothing of it was lost.
+#: The ``fork_lsn`` of a promotion that lost nothing of the former log.
 NO_LOSS = 2**62
 
 
@@ -146,36 +153,39 @@
 
 
 class Failure(enum.Enum):
-    """How a job failed; what it means for the transaction is beside it."""
+    """How a job failed, and what became of its transaction."""
 
-    #: The statement was refused; the transaction was rolled back.
+    #: A statement failed; the transaction was rolled back.
     STATEMENT = 'statement'
-    #: The key belongs to a request with another content; rolled back.
+    #: The idempotency key belongs to a request with other content; the
+    #: transaction was rolled back.
     KEY_REUSED = 'key_reused'
-    #: The result is over the limit; the transaction was rolled back.
+    #: The result exceeds the size limit; the transaction was rolled back.
     TOO_LARGE = 'too_large'
-    #: The connection broke; the endpoint rolls back what it didn't commit.
+    #: The connection was lost; the endpoint rolls back what it didn't
+    #: commit.
     LOST = 'lost'
-    #: No answer in time; the connection is closed.
+    #: The endpoint didn't answer in time; the connection is closed.
     TIMEOUT = 'timeout'
     #: The endpoint refused the job as unsafe, such as a late promotion.
     REFUSED = 'refused'
-    #: Not run: every slot of the endpoint was taken.
+    #: Not run: every slot of the endpoint was in use.
     BUSY = 'busy'
-    #: Not run: the endpoint's data has not reached the position asked for.
+    #: Not run: the endpoint's data has not reached the required position.
     BEHIND = 'behind'
-    #: Not run, and what was open is rolled back: it does not lead.
+    #: Not run: the endpoint is not the primary, and has rolled back the
+    #: open transaction.
     NOT_PRIMARY = 'not_primary'
 
 
 @attrs.frozen
 class JobDone:
-    """A job that succeeded.
+    """The outcome of a job that succeeded.
 
-    ``after_lsn`` is the position read after the statements; ``replayed``
-    says that the results are those of an earlier run of the same key, and
-    that nothing ran now. ``fork_lsn`` is where a promotion ended the
-    former term's log.
+    ``after_lsn`` is the endpoint's position after the statements.
+    ``replayed`` says that the job ran nothing and that the results are
+    those of an earlier run with the same key. ``fork_lsn`` is the position
+    at which a promotion ended the former term's log.
     """
 
     report: _types.EndpointReport
@@ -187,9 +197,10 @@
 
 @attrs.frozen
 class JobFailed:
-    """A job that failed; ``usable`` says if the connection may go on.
+    """The outcome of a job that failed.
 
-    A refusal may bring a report like every other answer.
+    ``usable`` says whether the connection may be used again. A refusal may
+    carry a report, as every other answer does.
     """
 
     failure: Failure
--- a/src/tidegrade/core/_needs.py
+++ b/src/tidegrade/core/_needs.py
@@ -1,7 +1,8 @@
-"""What a read asks of the data: which position, or how young.
+"""The position or maximum age that a read requires of the data.
 
-Where endpoints check positions themselves, an age is turned into a position
-that the primary showed early enough, at a moment when nobody else led.
+Where endpoints check positions themselves, a maximum age is translated into a
+position that the primary reported recently enough, at a time when no other
+endpoint could be the primary.
 """
 
 import attrs
@@ -12,66 +13,68 @@
 from tidegrade.core import _types
 from tidegrade.core import _view
 
-#: Less than every position: any replica has it.
+#: A position less than every other, which every replica has applied.
 ANY_LSN = -1
 
 
 class Needs:
-    """Works out the needs of one group's reads."""
+    """Derives the needs of one group's reads."""
 
     def __init__(self, state: _state.GroupState) -> None:
         self._state = state
 
     @property
     def _checked(self) -> bool:
-        """Tell whether endpoints check the position of a read themselves."""
+        """Whether endpoints check the position of a read themselves."""
         return self._state.settings.traits.checks_position
 
-    def of(
+    def need_of(
         self, pending: _pending.Pending, lsn: int, now: float
     ) -> _routing.ReadNeed:
-        """Give the need of a read whose session has seen ``lsn``."""
+        """Return the need of a read whose session has seen ``lsn``."""
         if self._checked and pending.req.max_age:
             return self._checked_need(pending, lsn, pending.req.max_age)
-        reached: float | None = now
+        reached_at: float | None = now
         if lsn:
-            reached = self._reached_at(pending, lsn)
-        return self._need_of(pending, lsn, reached, pending.req.max_age)
+            reached_at = self._reached_at(pending, lsn)
+        return self._make_need(pending, lsn, reached_at, pending.req.max_age)
 
     def _reached_at(self, pending: _pending.Pending, lsn: int) -> float:
-        reached = self._state.samples.reached_at(lsn)
-        if reached is None:
-            # Newer than every poll: it came with the request, at the latest.
+        reached_at = self._state.samples.reached_at(lsn)
+        if reached_at is None:
+            # The position is newer than every poll. The primary reached it
+            # before the request that names it arrived.
             return pending.arrived
-        return reached
+        return reached_at
 
     def _checked_need(
         self, pending: _pending.Pending, lsn: int, max_age: float
     ) -> _routing.ReadNeed:
-        """Give the need of a read whose endpoint checks its position."""
+        """Return the need of a read with a maximum age as a position."""
         oldest = pending.arrived - max_age
-        former = self._former(pending, oldest)
+        former = self._recent_former(pending, oldest)
         if former is not None:
             return attrs.evolve(
-                self._need_of(pending, ANY_LSN, former.at, None),
-                after=self._in_former_term(former, pending.req.floor),
+                self._make_need(pending, ANY_LSN, former.at, None),
+                after=self._position_in_former_term(former, pending.req.floor),
             )
-        dated = self._dated(oldest)
+        dated = self._dated_sample(oldest)
         if dated is None:
-            reached = self._reached_at(pending, lsn)
-            return self._need_of(pending, lsn, reached, 0.0)
-        reached = dated.at
+            reached_at = self._reached_at(pending, lsn)
+            return self._make_need(pending, lsn, reached_at, 0.0)
+        reached_at = dated.at
         if lsn > dated.lsn:
-            reached = min(reached, self._reached_at(pending, lsn))
-        return self._need_of(pending, max(lsn, dated.lsn), reached, None)
+            reached_at = min(reached_at, self._reached_at(pending, lsn))
+        return self._make_need(pending, max(lsn, dated.lsn), reached_at, None)
 
-    def _former(
+    def _recent_former(
         self, pending: _pending.Pending, oldest: float
     ) -> _view.FormerPosition | None:
-        """Give a position of a former term that is young enough.
+        """Return a former term's position that is recent enough, if any.
 
-        Replicas that a change of primary has fenced still have it. If one
-        lacks it, that change may have lost it for good.
+        Replicas that a failover has fenced still have that position, so
+        they can serve the read before the new primary does. After a miss it
+        is not used again, since the failover may have lost it for good.
         """
         former, row = self._state.former, self._state.row
         if former is None or row is None or former.at < oldest:
@@ -84,30 +87,33 @@
         return former
 
     @staticmethod
-    def _in_former_term(
+    def _position_in_former_term(
         former: _view.FormerPosition, floor: _types.Position | None
     ) -> _types.Position:
-        """Give the position that covers the session as well."""
+        """Return the position that also covers the session's floor."""
         lsn = former.position.lsn
         if floor is not None and floor.term == former.position.term:
             lsn = max(lsn, floor.lsn)
         return _types.Position(former.marker, lsn)
 
-    def _need_of(
+    def _make_need(
         self,
         pending: _pending.Pending,
         lsn: int,
-        reached: float | None,
+        reached_at: float | None,
         max_age: float | None,
     ) -> _routing.ReadNeed:
-        """Give a need; where endpoints check positions, ``lsn`` is asked."""
+        """Return a need with the state of the request.
+
+        Where endpoints check positions, they are asked for ``lsn``.
+        """
         after = None
         row = self._state.row
         if self._checked and max_age is None and row is not None:
             after = _types.Position(row.marker, lsn)
         return _routing.ReadNeed(
             lsn=lsn,
-            reached_at=reached,
+            reached_at=reached_at,
             max_age=max_age,
             arrived=pending.arrived,
             deadline=pending.req.deadline,
@@ -116,14 +122,15 @@
             after=after,
         )
 
-    def _dated(self, at: float) -> _view.Sample | None:
-        """Give a position that holds all that was acknowledged by ``at``.
+    def _dated_sample(self, at: float) -> _view.Sample | None:
+        """Return a position that covers all writes acknowledged by ``at``.
 
-        The primary showed it when asked at ``at`` or later, and nobody
-        else could lead at that moment.
+        The primary reported the position to a poll sent at ``at`` or later,
+        when no other endpoint could be the primary.
         """
         if not self._state.registered:
-            # Nobody waits for this proxy before another endpoint leads.
+            # A failover doesn't wait for a proxy that is not registered, so
+            # another endpoint may already be the primary.
             return None
         sample = self._state.samples.since(at)
         covered = self._state.permission.covered_until()
--- a/src/tidegrade/core/_order.py
+++ b/src/tidegrade/core/_order.py
@@ -1,27 +1,30 @@
-"""In which order waiting requests are served.
-
-The load pattern: after a change of primary or a burst more requests wait
-than can be answered while their answers are worth most. Served in the
-order of arrival, each is answered too late, as long as the backlog lasts.
-So those that can still be in time go before those that can't, urgent ones
-before others; who has waited long moves up, so that none starves. Behind a
-backlog of half a second and under a load of 80 %, at least 30 of 40 new
-requests are in time (a replay in the tests).
+"""The order in which waiting requests are served.
+
+After a failover or a burst, more requests wait than can be answered within
+their aims. If they were served in the order of arrival, every one would be
+answered late for as long as the backlog lasts. So requests that can still
+meet their aim go before those that can't, and urgent ones before others. The
+priority of a request rises with its wait, so that none starves. A test
+replays a backlog of half a second under a load of 80 %, in which at least 30
+of 40 new requests are answered in time.
 """
 
 import attrs
 
 from tidegrade.core import _pending
 
-#: Wait after which a request counts as one priority higher, in seconds:
-#: less than half of what a statement may wait, so that an ordinary request
+#: Wait that raises a request by one priority, in seconds. It is less than
+#: half of the time that a statement may wait, so that an ordinary request
 #: overtakes urgent ones before it must be refused.
-AGING = 0.25
+AGING_INTERVAL_S = 0.25
 
 
 @attrs.frozen
 class Rank:
-    """A request's place in a line."""
+    """The rank of a waiting request; the least one is served first.
+
+    ``late`` says that the request can't be answered within its aim.
+    """
 
     late: bool
     priority: int
@@ -29,24 +32,24 @@
 
     @property
     def between(self) -> tuple[bool, int]:
-        """Give the place among those of other tenants; least goes first."""
+        """The sort key among the requests of different tenants."""
         return (self.late, self.priority)
 
     @property
     def within(self) -> tuple[bool, int, float]:
-        """Give the place among those of one tenant; least goes first."""
+        """The sort key among the requests of one tenant."""
         return (self.late, self.priority, self.arrived)
 
 
 def rank_of(pending: _pending.Pending, service: float, now: float) -> Rank:
-    """Give the place of a request; ``service`` is what one takes.
+    """Return the rank of a request at ``now``.
 
-    Times are in seconds. A request counts as late once it can't be
-    answered by its aim, even if it were served at once.
+    ``service`` is the mean service time in seconds. A request counts as
+    late once it would miss its aim even if it were served at once.
     """
-    aged = int((now - pending.arrived) / AGING)
+    raised = int((now - pending.arrived) / AGING_INTERVAL_S)
     return Rank(
         late=now + service > pending.req.aim,
-        priority=max(0, pending.req.priority - aged),
+        priority=max(0, pending.req.priority - raised),
         arrived=pending.arrived,
     )
--- a/src/tidegrade/core/_reads.py
+++ b/src/tidegrade/core/_reads.py
@@ -1,4 +1,4 @@
-"""Reads: choosing the endpoint, and checking what it answered."""
+"""The read path: chooses an endpoint and checks its answer."""
 
 import enum
 
@@ -17,21 +17,22 @@
 from tidegrade.core import _state
 from tidegrade.core import _types
 
-#: Pause before a request looks again for a row it needs, in seconds.
-ROW_RETRY = 0.03
-#: Reports older than this don't make a replica a candidate, in seconds.
-REPORT_LIFE = 3.0
+#: Pause before a request checks again for the group row it needs, in seconds.
+ROW_RETRY_PAUSE_S = 0.03
+#: Maximum age of the report that makes a replica a candidate, in seconds.
+REPORT_MAX_AGE_S = 3.0
 
-#: A replica whose reads take this many times as long as those of the
-#: quickest is passed over: more than the spread of a moving average over
-#: reads of very unequal work, less than a machine in trouble shows.
+#: A replica counts as slow if its reads take more than this many times as
+#: long as those of the fastest replica. The ratio exceeds the spread of a
+#: moving average over reads of very unequal work, and is less than what an
+#: impaired VM shows.
 SLOW_RATIO = 2.5
-#: How long a measured reading time counts, in seconds; then it is tried
-#: again, which costs one slow read.
-READ_TIME_LIFE = 1.0
+#: Maximum age of a measured read time, in seconds. A replica with an older
+#: one is tried again, which costs one slow read.
+READ_TIME_MAX_AGE_S = 1.0
 
-#: What a caller is told after refusals by endpoints that ran nothing.
-NOT_RUN = {
+#: Answer codes for failures in which the endpoint ran nothing.
+NOT_RUN_CODES = {
     _jobs.Failure.BUSY: _types.Code.OVERLOADED,
     _jobs.Failure.BEHIND: _types.Code.TOO_STALE,
     _jobs.Failure.NOT_PRIMARY: _types.Code.NO_PRIMARY,
@@ -39,20 +40,20 @@
 
 
 class Placement(enum.Enum):
-    """What became of an attempt to place a request."""
+    """The result of an attempt to place a request on a connection."""
 
-    #: A connection works on it, or it was answered.
+    #: The request was sent on a connection, or was answered.
     TAKEN = 'taken'
-    #: No connection is free; it stays where it is.
+    #: No connection is idle; the request stays in its queue.
     BLOCKED = 'blocked'
-    #: It waits until its ``not_before``.
+    #: The request waits until its ``not_before``.
     PARKED = 'parked'
-    #: It must wait for the primary.
+    #: The request must wait for the primary.
     PRIMARY = 'primary'
 
 
 class ReadPath:
-    """Carries reads from the queue to their answers."""
+    """Sends queued reads to endpoints and answers them."""
 
     def __init__(
         self,
@@ -64,26 +65,26 @@
         self._needs = _needs.Needs(state)
 
     def place(self, pending: _pending.Pending, now: float) -> Placement:
-        """Try to hand a read to an endpoint."""
+        """Try to send a read to an endpoint."""
         pending.needs_permission = False
         row = self._state.row
         if row is None:
             return self._wait_for_row(pending, now)
         floor = self._floor(row, pending)
         if floor.is_err():
-            return self._floor_problem(pending, floor.unwrap_err(), now)
-        need = self._needs.of(pending, floor.unwrap(), now)
+            return self._handle_floor_problem(pending, floor.unwrap_err(), now)
+        need = self._needs.need_of(pending, floor.unwrap(), now)
         tenant = self._state.tenant_of(pending.req)
         route = self._route(need, tenant, now)
         if isinstance(route, _routing.ToReplica):
-            if route.better:
-                self._open_better(route.better, tenant, now)
+            if route.preferred:
+                self._open_preferred(route.preferred, tenant, now)
             return self._send(pending, route.name, need, now)
         if isinstance(route, _routing.WaitUntil):
             pending.not_before = route.at
             return Placement.PARKED
-        if isinstance(route, _routing.WaitForFree):
-            self._open_more(pending, now)
+        if isinstance(route, _routing.WaitForConn):
+            self._open_conns(pending, now)
             return Placement.BLOCKED
         return self._to_primary(pending, row, need, now)
 
@@ -95,23 +96,23 @@
         sent_at: float,
         now: float,
     ) -> bool:
-        """Take in the end of a read; tell whether it must be tried again."""
+        """Handle the end of a read; return whether it must be retried."""
         pending.sent_to = ''
         if isinstance(outcome, _jobs.JobFailed):
-            return self._failed(pending, conn, outcome, now)
+            return self._read_failed(pending, conn, outcome, now)
         self._registry.service.served(now - sent_at)
         self._state.views[conn.endpoint].served(now - sent_at, now)
         if not self._checked and not self._satisfies(
             pending, conn, outcome, now
         ):
-            self._missed(pending, now)
+            self._count_miss(pending, now)
             return True
         self._answer(pending, conn, outcome, now)
         return False
 
     @property
     def _checked(self) -> bool:
-        """Tell whether endpoints check the position of a read themselves."""
+        """Whether endpoints check the position of a read themselves."""
         return self._state.settings.traits.checks_position
 
     def _floor(
@@ -120,17 +121,17 @@
         restart = self._state.settings.traits.positions_restart
         return _row.floor_lsn(row, pending.req.floor, restart)
 
-    # Placing --------------------------------------------------------------
+    # Placement ------------------------------------------------------------
 
     def _wait_for_row(
         self, pending: _pending.Pending, now: float
     ) -> Placement:
         pending.waiting_for = _types.Code.NO_PRIMARY
-        pending.not_before = now + ROW_RETRY
+        pending.not_before = now + ROW_RETRY_PAUSE_S
         self._state.order(_events.FetchRow())
         return Placement.PARKED
 
-    def _floor_problem(
+    def _handle_floor_problem(
         self,
         pending: _pending.Pending,
         problem: _row.FloorProblem,
@@ -162,20 +163,20 @@
             if self._is_candidate(name, now)
         ]
         times = [self._read_time(name, now) for name in names]
-        usual = min((t for t in times if t), default=0.0)
+        fastest = min((t for t in times if t), default=0.0)
         return [
-            self._replica_state(name, tenant, took > usual * SLOW_RATIO, now)
+            self._replica_state(name, tenant, took > fastest * SLOW_RATIO, now)
             for name, took in zip(names, times, strict=True)
         ]
 
     def _read_time(self, name: str, now: float) -> float:
-        """Give how long reads take at an endpoint; 0 if that isn't known.
+        """Return the mean read time of an endpoint in seconds; 0 if unknown.
 
-        A figure that nothing has renewed for a while is forgotten, so that
-        an endpoint which was slow is tried again.
+        A measurement older than ``READ_TIME_MAX_AGE_S`` is ignored, so that
+        an endpoint that was slow is tried again.
         """
         view = self._state.views[name]
-        if now - view.read_at > READ_TIME_LIFE:
+        if now - view.read_at > READ_TIME_MAX_AGE_S:
             return 0.0
         return view.read_time
 
@@ -190,7 +191,7 @@
             return not view.failures
         if not state.on_history(name):
             return False
-        return now - view.sent_at < REPORT_LIFE and not view.failures
+        return now - view.sent_at < REPORT_MAX_AGE_S and not view.failures
 
     def _replica_state(
         self, name: str, tenant: str | None, slow: bool, now: float
@@ -208,7 +209,7 @@
             fresh_at=state.samples.fresh_at(applied),
             delay=view.apply_delay,
             round_trip=view.round_trip,
-            free=state.pool.idle(name, tenant) is not None,
+            has_idle_conn=state.pool.idle(name, tenant) is not None,
             load=state.pool.busy_count(name),
             slots=endpoint.slots,
             slow=slow,
@@ -216,22 +217,27 @@
             reported_at=view.sent_at,
         )
 
-    def _open_more(self, pending: _pending.Pending, now: float) -> None:
-        """Have connections come to replicas that may serve a read.
+    def _open_conns(self, pending: _pending.Pending, now: float) -> None:
+        """Open connections to replicas that may serve a read.
 
-        One is enough for a tenant, since each takes room from another's.
+        For a tenant with connections of its own, one is enough, since each
+        displaces a connection of another tenant.
         """
         state = self._state
         pressed = self._registry.is_pressed(pending, now)
         tenant = state.tenant_of(pending.req)
-        replicas = sorted(self._replicas(tenant, now), key=_routing.cost_of)
+        replicas = sorted(
+            self._replicas(tenant, now), key=_routing.preference_key
+        )
         for replica in replicas:
-            comes = state.open_if_allowed(replica.name, tenant, now, pressed)
-            if comes and tenant:
+            opens = state.open_if_allowed(replica.name, tenant, now, pressed)
+            if opens and tenant:
                 return
 
-    def _open_better(self, name: str, tenant: str | None, now: float) -> None:
-        """Open one where a read would rather go, if nobody's must end."""
+    def _open_preferred(
+        self, name: str, tenant: str | None, now: float
+    ) -> None:
+        """Open a connection to the preferred replica, closing no other."""
         state = self._state
         if not tenant or state.pool.may_open(name, now, has_tenants=True):
             state.open_if_allowed(name, tenant, now)
@@ -249,8 +255,8 @@
         if not self._state.primary_takes_work(now):
             pending.needs_permission = True
             return Placement.PRIMARY
-        undated = self._checked and need.max_age is not None
-        if undated and not self._state.may_acknowledge(now):
+        permission_required = self._checked and need.max_age is not None
+        if permission_required and not self._state.may_acknowledge(now):
             pending.needs_permission = True
             return Placement.PRIMARY
         tenant = self._state.tenant_of(pending.req)
@@ -287,7 +293,7 @@
         conn: _pool.Conn,
         need: _routing.ReadNeed,
     ) -> _jobs.ReadJob | _jobs.StartJob:
-        """Give the job of a read, or of a transaction that only reads."""
+        """Return the job of a read or of a read-only transaction's begin."""
         req = pending.req
         after = need.after
         pending.after = need.lsn if after is None else after.lsn
@@ -300,7 +306,7 @@
 
     # Answers --------------------------------------------------------------
 
-    def _failed(
+    def _read_failed(
         self,
         pending: _pending.Pending,
         conn: _pool.Conn,
@@ -309,20 +315,23 @@
     ) -> bool:
         timeout = failed.failure is _jobs.Failure.TIMEOUT
         if timeout and now < pending.req.deadline:
-            # Another endpoint may answer in the time that is left.
+            # Another endpoint may answer before the deadline.
             pending.waiting_for = _types.Code.DEADLINE
             return True
         if failed.failure is _jobs.Failure.LOST:
             pending.waiting_for = _types.Code.CONN_LOST
             return True
-        if failed.failure in NOT_RUN:
-            pending.waiting_for = NOT_RUN[failed.failure]
+        if failed.failure in NOT_RUN_CODES:
+            pending.waiting_for = NOT_RUN_CODES[failed.failure]
             if failed.failure is _jobs.Failure.BEHIND:
                 self._state.views[conn.endpoint].lacked(now)
-            self._missed(pending, now)
+            self._count_miss(pending, now)
             return True
-        if not timeout and not self._speaks_for(conn.endpoint, pending):
-            # It may lack what the statement needs: ask the primary.
+        if not timeout and not self._was_known_to_cover(
+            conn.endpoint, pending
+        ):
+            # The statement may have failed because the replica lacks data
+            # that it needs, so the read goes to the primary next.
             pending.misses += _routing.MAX_MISSES
             return True
         code = {
@@ -332,11 +341,13 @@
         self._registry.refuse(pending, code, failed.detail)
         return False
 
-    def _speaks_for(self, name: str, pending: _pending.Pending) -> bool:
-        """Tell whether an endpoint was known to have what the read needs.
+    def _was_known_to_cover(
+        self, name: str, pending: _pending.Pending
+    ) -> bool:
+        """Return whether an endpoint was known to have the read's floor.
 
-        A failed statement brings no report, so only an earlier one counts;
-        positions never go back within a term.
+        A failed statement carries no report, so the last earlier report
+        decides; positions are monotonic within a term.
         """
         state = self._state
         if state.row is None or name == state.row.primary:
@@ -348,12 +359,15 @@
         current = state.is_current(name, report)
         return current and report.lsn >= floor.unwrap()
 
-    def _missed(self, pending: _pending.Pending, now: float) -> None:
-        """Note an answer that doesn't satisfy; a pause precedes the next."""
+    def _count_miss(self, pending: _pending.Pending, now: float) -> None:
+        """Count an answer that doesn't satisfy the read.
+
+        After ``MAX_MISSES`` such answers, a backoff precedes each try.
+        """
         pending.misses += 1
         if pending.misses > _routing.MAX_MISSES:
-            pause = _retry.pause(pending.misses, self._state.rng)
-            pending.not_before = now + pause
+            backoff = _retry.backoff(pending.misses, self._state.rng)
+            pending.not_before = now + backoff
 
     def _satisfies(
         self,
@@ -362,7 +376,7 @@
         done: _jobs.JobDone,
         now: float,
     ) -> bool:
-        """Check the answer itself against the need, not cached positions."""
+        """Check the report in the answer itself, not cached positions."""
         state = self._state
         row = state.row
         if row is None or not state.is_current(conn.endpoint, done.report):
@@ -380,7 +394,7 @@
         return age <= pending.req.max_age
 
     def _age(self, conn: _pool.Conn, done: _jobs.JobDone, now: float) -> float:
-        """Give a bound of the data's age at ``now``, in seconds."""
+        """Return an upper bound of the data's age at ``now``, in seconds."""
         state = self._state
         assert state.row is not None
         if conn.endpoint == state.row.primary and state.may_acknowledge(now):
@@ -398,7 +412,8 @@
         assert row is not None
         position, age = None, float('inf')
         if done.report.marker == row.marker:
-            # What is shown of a former term says nothing of this one.
+            # A position of a former term can't be compared with those of
+            # the current term.
             seen = max(done.after_lsn, done.report.lsn)
             position = _types.Position(row.term, seen)
             age = self._age(conn, done, now)
--- a/src/tidegrade/core/_retry.py
+++ b/src/tidegrade/core/_retry.py
@@ -1,37 +1,44 @@
-"""How often the proxy itself retries, and after which pause."""
+"""Retry budget and backoff of the proxy's own retries."""
 
 import random
 
 import attrs
 
-#: Retries earned by each request that arrives.
+#: Retries that each arriving request adds to the budget.
 RETRIES_PER_REQUEST = 0.2
-#: Retries that can be saved up.
-MAX_SAVED = 20.0
-#: Bounds of the pause before a retry, in seconds.
-MIN_PAUSE = 0.01
-MAX_PAUSE = 0.5
+#: Capacity of the budget, in retries.
+MAX_SAVED_RETRIES = 20.0
+#: Bounds of the backoff before a retry, in seconds.
+MIN_BACKOFF_S = 0.01
+MAX_BACKOFF_S = 0.5
 
 
 @attrs.define
 class RetryBudget:
-    """A bucket of retries, so that a failure isn't multiplied by them."""
+    """Token bucket of retries.
 
-    saved: float = MAX_SAVED
+    It bounds the load that retries add while an endpoint is failing.
+    ``saved`` is the number of retries left.
+    """
+
+    saved: float = MAX_SAVED_RETRIES
 
     def earned(self) -> None:
-        """Note that a request has arrived."""
-        self.saved = min(self.saved + RETRIES_PER_REQUEST, MAX_SAVED)
+        """Add the retries that one arriving request earns."""
+        self.saved = min(self.saved + RETRIES_PER_REQUEST, MAX_SAVED_RETRIES)
 
     def take(self) -> bool:
-        """Spend one retry if there is one."""
+        """Spend one retry; return whether there was one."""
         if self.saved < 1:
             return False
         self.saved -= 1
         return True
 
 
-def pause(tries: int, rng: random.Random) -> float:
-    """Give a pause with full jitter, longer with each try, in seconds."""
-    longest = min(MIN_PAUSE * 2 ** min(tries, 10), MAX_PAUSE)
-    return rng.uniform(MIN_PAUSE / 2, longest)
+def backoff(tries: int, rng: random.Random) -> float:
+    """Return the time to wait before the next try, in seconds.
+
+    The backoff is exponential in ``tries`` and has jitter.
+    """
+    longest = min(MIN_BACKOFF_S * 2 ** min(tries, 10), MAX_BACKOFF_S)
+    return rng.uniform(MIN_BACKOFF_S / 2, longest)
--- a/src/tidegrade/core/_sources.py
+++ b/src/tidegrade/core/_sources.py
@@ -1,9 +1,9 @@
-"""Whom to ask for what several others have.
+"""The choice of the proxy to pull a document from.
 
-The load pattern: something large changes, every proxy of a failure domain
-wants it at once, and a link needs a noticeable time to carry it. If all ask
-the same one, its link is shared by all of them; and one that answers nobody
-must not be the only one asked.
+When a large document changes, every proxy of a failure domain pulls it at the
+same time, and its transfer takes a noticeable time on a link. If all proxies
+pulled from the same source, they would share its link; and if that source
+didn't answer, none would get the document.
 """
 
 from collections.abc import Collection
@@ -14,35 +14,38 @@
 
 @attrs.frozen
 class Source:
-    """A proxy that has what is wanted; ``near``: in the same domain."""
+    """A proxy that has the document.
+
+    A ``near`` source is in the failure domain of the proxy that pulls.
+    """
 
     proxy: str
     near: bool
 
 
 class Sources:
-    """Gives the proxies to ask, one after another."""
+    """Chooses the proxies to pull from, one after another."""
 
     def __init__(self, rng: random.Random) -> None:
         self._rng = rng
         self._asked: set[str] = set()
 
-    def choose(self, having: Collection[Source]) -> Source | None:
-        """Give one that was not asked yet; None if all were.
+    def choose(self, available: Collection[Source]) -> Source | None:
+        """Return a random source that was not asked yet; None if all were.
 
-        Near ones come first, since bytes between domains are billed; which
-        of them is left to chance, so that the askers spread.
+        Near sources come first, since traffic between failure domains is
+        billed. The random choice spreads the load over the sources.
         """
-        fresh = [s for s in having if s.proxy not in self._asked]
-        near = [source for source in fresh if source.near]
-        if not fresh:
+        unasked = [s for s in available if s.proxy not in self._asked]
+        near = [source for source in unasked if source.near]
+        if not unasked:
             return None
-        return self._rng.choice(near or fresh)
+        return self._rng.choice(near or unasked)
 
     def asked(self, source: Source) -> None:
-        """Note that one is being asked."""
+        """Record that a source is being asked."""
         self._asked.add(source.proxy)
 
     def start_over(self) -> None:
-        """Let all be asked once more."""
+        """Make every source available again."""
         self._asked.clear()
--- a/src/tidegrade/core/_txns.py
+++ b/src/tidegrade/core/_txns.py
@@ -1,4 +1,7 @@
-"""Interactive transactions: each owns one connection to the primary."""
+"""Interactive transactions, each pinned to one connection.
+
+A transaction that only reads may be pinned to a replica.
+"""
 
 import attrs
 
@@ -13,11 +16,11 @@
 from tidegrade.core import _types
 from tidegrade.core import _writes
 
-#: Random bits in a transaction's name, so that nobody guesses one.
-NAME_BITS = 96
+#: Random bits in a transaction's name, which make it unguessable.
+TXN_NAME_BITS = 96
 
-#: Failures that trying again can't mend.
-_FINAL = {
+#: Answer codes for failures that a retry can't resolve.
+_FINAL_CODES = {
     _jobs.Failure.STATEMENT: _types.Code.STATEMENT_FAILED,
     _jobs.Failure.TOO_LARGE: _types.Code.RESULT_TOO_LARGE,
     _jobs.Failure.TIMEOUT: _types.Code.DEADLINE,
@@ -26,27 +29,33 @@
 
 @attrs.define(eq=False)
 class Transaction:
-    """An open transaction and the request that uses it, if any."""
+    """An open transaction.
+
+    ``line`` is the queue key of the requests that may use it, ``conn`` the
+    number of its connection. ``started_at`` and ``last_used_at`` are in
+    seconds on the proxy's clock. ``pending`` is the request that is running
+    in it, if any.
+    """
 
     name: str
     line: str
     conn: int
-    started: float
-    used: float
-    user: _pending.Pending | None = None
+    started_at: float
+    last_used_at: float
+    pending: _pending.Pending | None = None
     read_only: bool = False
 
 
 @attrs.define(eq=False)
 class TxnStep:
-    """The owner of a job that belongs to a transaction."""
+    """A transaction and the request whose job is running in it."""
 
     txn: Transaction
     pending: _pending.Pending
 
 
 class Transactions:
-    """The transactions that this proxy keeps open for callers."""
+    """The interactive transactions that this proxy has open."""
 
     def __init__(
         self,
@@ -67,9 +76,9 @@
     def place_begin(
         self, pending: _pending.Pending, now: float
     ) -> _reads.Placement:
-        """Try to begin a transaction on a connection of its own."""
+        """Try to begin a transaction on an idle connection to the primary."""
         waits = self._state.settings.traits.begin_waits
-        if not waits and not self._room():
+        if not waits and not self._has_capacity():
             self._registry.refuse(pending, _types.Code.TXN_LIMIT)
             return _reads.Placement.TAKEN
         conn = self._writes.primary_conn(pending, now)
@@ -88,16 +97,18 @@
         outcome: _jobs.JobOutcome,
         now: float,
     ) -> bool:
-        """Take in the end of a begin; True asks for another try."""
+        """Handle the end of a begin; return whether it must be retried."""
         pending.sent_to = ''
         if isinstance(outcome, _jobs.JobFailed):
             return self._begin_failed(pending, outcome, now)
         read_only = pending.req.read_only
-        if not read_only and not self._writes.right_primary(conn, outcome):
+        if not read_only and not self._writes.is_current_primary(
+            conn, outcome
+        ):
             self._writes.roll_back(conn, outcome, now)
             code = _types.Code.NO_PRIMARY
             return self._writes.again(pending, code, now)
-        txn = self._open_on(conn, pending, now)
+        txn = self._register(conn, pending, now)
         row = self._state.row
         assert row is not None
         self._registry.answer(
@@ -118,31 +129,40 @@
         failed: _jobs.JobFailed,
         now: float,
     ) -> bool:
-        """Nothing is kept: try again, unless a statement itself failed."""
+        """Retry a failed begin unless the failure is final.
+
+        A failed begin leaves no transaction open.
+        """
         failure = failed.failure
-        if failure in _FINAL:
-            self._registry.refuse(pending, _FINAL[failure], failed.detail)
+        if failure in _FINAL_CODES:
+            self._registry.refuse(
+                pending, _FINAL_CODES[failure], failed.detail
+            )
             return False
         if failure is _jobs.Failure.NOT_PRIMARY:
             self._state.order(_events.FetchRow())
         if failure is _jobs.Failure.BEHIND:
             pending.misses += 1
-        code = _reads.NOT_RUN.get(failure, _types.Code.CONN_LOST)
+        code = _reads.NOT_RUN_CODES.get(failure, _types.Code.CONN_LOST)
         return self._writes.again(pending, code, now)
 
-    def _room(self) -> bool:
-        """Keep one connection free of transactions, where there are two."""
+    def _has_capacity(self) -> bool:
+        """Return whether another transaction may open.
+
+        Where the proxy has two connections or more to the primary, one of
+        them stays available for other requests.
+        """
         row = self._state.row
         if row is None:
             return True
-        share = self._state.pool.share(row.primary).most
-        return len(self._open) < max(1, share - 1)
+        conns = self._state.pool.share(row.primary).most
+        return len(self._open) < max(1, conns - 1)
 
-    def _open_on(
+    def _register(
         self, conn: _pool.Conn, pending: _pending.Pending, now: float
     ) -> Transaction:
-        secret = self._state.rng.getrandbits(NAME_BITS)
-        name = f'{self._state.settings.proxy_id}~{secret:024x}'
+        nonce = self._state.rng.getrandbits(TXN_NAME_BITS)
+        name = f'{self._state.settings.proxy_id}~{nonce:024x}'
         txn = Transaction(
             name,
             pending.req.line,
@@ -155,10 +175,14 @@
         self._open[name] = txn
         return txn
 
-    # Use ------------------------------------------------------------------
+    # Steps ----------------------------------------------------------------
 
     def use(self, pending: _pending.Pending, now: float) -> None:
-        """Run a statement, commit or rollback in an open transaction."""
+        """Run a statement, commit or rollback in an open transaction.
+
+        A request for an unknown transaction, or for one in which another
+        request is running, is refused.
+        """
         txn = self._open.get(pending.req.txn)
         if txn is None or txn.line != pending.req.line:
             self._registry.refuse(
@@ -167,16 +191,16 @@
                 'no such transaction is open; it was rolled back or ended',
             )
             return
-        if txn.user is not None:
+        if txn.pending is not None:
             self._registry.refuse(pending, _types.Code.TXN_BUSY)
             return
         conn = self._state.pool.get(txn.conn)
         _types.invariant(
             conn is not None and conn.state is _pool.ConnState.PINNED,
-            'a transaction without its connection',
+            'an open transaction has no pinned connection',
         )
         assert conn is not None
-        self._run_step(txn, pending, conn, now)
+        self._start_step(txn, pending, conn, now)
 
     def step_ended(
         self,
@@ -186,9 +210,9 @@
         outcome: _jobs.JobOutcome,
         now: float,
     ) -> None:
-        """Take in the end of a statement, commit or rollback."""
-        step.txn.user = None
-        step.txn.used = now
+        """Handle the end of a statement, commit or rollback."""
+        step.txn.pending = None
+        step.txn.last_used_at = now
         step.pending.sent_to = ''
         if isinstance(job, _jobs.ExecuteJob):
             self._executed(step, conn, outcome)
@@ -199,7 +223,7 @@
             self._forget(step.txn)
             self._rolled_back(step)
 
-    def _run_step(
+    def _start_step(
         self,
         txn: Transaction,
         pending: _pending.Pending,
@@ -209,7 +233,7 @@
         job = self._job_of(pending, conn)
         if isinstance(job, _jobs.CommitJob):
             if not self._may_commit(txn, now):
-                self._end(txn, now)
+                self._roll_back(txn, now)
                 self._registry.refuse(
                     pending,
                     _types.Code.NO_PRIMARY,
@@ -217,7 +241,7 @@
                 )
                 return
             pending.commit_sent = True
-        txn.user = pending
+        txn.pending = pending
         pending.sent_to = pending.last_sent_to = conn.endpoint
         pending.tries += 1
         step = TxnStep(txn, pending)
@@ -263,7 +287,7 @@
             )
             return
         self._forget(step.txn)
-        code = _FINAL.get(outcome.failure) or _reads.NOT_RUN.get(
+        code = _FINAL_CODES.get(outcome.failure) or _reads.NOT_RUN_CODES.get(
             outcome.failure, _types.Code.CONN_LOST
         )
         detail = f'{outcome.detail} (the transaction was rolled back)'
@@ -278,9 +302,14 @@
                 self._answer_read_only(step)
             else:
                 self._writes.committed(step.pending, outcome.after_lsn, now)
-        elif step.txn.read_only or outcome.failure in _writes.ROLLED_BACK:
+        elif (
+            step.txn.read_only
+            or outcome.failure in _writes.ROLLED_BACK_FAILURES
+        ):
             step.pending.commit_sent = False
-            code = _FINAL.get(outcome.failure) or _reads.NOT_RUN.get(
+            code = _FINAL_CODES.get(
+                outcome.failure
+            ) or _reads.NOT_RUN_CODES.get(
                 outcome.failure, _types.Code.CONN_LOST
             )
             self._registry.refuse(step.pending, code, outcome.detail)
@@ -288,7 +317,7 @@
             self._registry.unknown(step.pending, _types.Code.CONN_LOST)
 
     def _answer_read_only(self, step: TxnStep) -> None:
-        """End a transaction that wrote nothing: no permission is needed."""
+        """Answer a read-only commit, which needs no permission."""
         step.pending.commit_sent = False
         self._registry.answer(
             step.pending,
@@ -296,43 +325,52 @@
         )
 
     def _rolled_back(self, step: TxnStep) -> None:
-        # Also a lost connection rolls back what was not committed.
+        # The answer is the same if the job failed: the endpoint also rolls
+        # back when the connection is lost.
         self._registry.answer(step.pending, _types.Answer(_types.Outcome.DONE))
 
     # Limits ---------------------------------------------------------------
 
     def expire(self, now: float) -> None:
-        """End the transactions that are over a limit and not in use."""
+        """Roll back idle transactions that exceed a time limit.
+
+        The limits are ``txn_limit_s`` since the begin and ``txn_idle_s``
+        since the last step. A running step is not interrupted.
+        """
         cfg = self._state.cfg
         for txn in list(self._open.values()):
-            if txn.user is not None:
+            if txn.pending is not None:
                 continue
-            too_old = now - txn.started > cfg.txn_limit_s
-            if too_old or now - txn.used > cfg.txn_idle_s:
-                self._end(txn, now)
+            too_old = now - txn.started_at > cfg.txn_limit_s
+            if too_old or now - txn.last_used_at > cfg.txn_idle_s:
+                self._roll_back(txn, now)
 
     def conn_lost(self, conn: _pool.Conn) -> None:
-        """Forget the transaction whose idle connection has ended."""
+        """Forget the transaction whose connection closed between steps."""
         for txn in list(self._open.values()):
             if txn.conn == conn.id:
                 self._forget(txn)
 
     def end_elsewhere(self, primary: str, now: float) -> None:
-        """End the unused transactions on endpoints other than this."""
+        """Roll back idle transactions on endpoints other than ``primary``."""
         for txn in list(self._open.values()):
             conn = self._state.pool.get(txn.conn)
-            gone = conn is None or conn.endpoint != primary
-            if gone and txn.user is None:
-                self._end(txn, now)
+            elsewhere = conn is None or conn.endpoint != primary
+            if elsewhere and txn.pending is None:
+                self._roll_back(txn, now)
 
-    def _end(self, txn: Transaction, now: float) -> None:
+    def _roll_back(self, txn: Transaction, now: float) -> None:
         self._forget(txn)
         conn = self._state.pool.get(txn.conn)
         if conn is None or conn.state is not _pool.ConnState.PINNED:
             return
         conn.state = _pool.ConnState.IDLE
         self._state.run(
-            conn, _jobs.RollbackJob(), None, now + _writes.SETTLE_TIME, now
+            conn,
+            _jobs.RollbackJob(),
+            None,
+            now + _writes.END_TXN_TIMEOUT_S,
+            now,
         )
 
     def _forget(self, txn: Transaction) -> None:
--- a/src/tidegrade/core/_writes.py
+++ b/src/tidegrade/core/_writes.py
@@ -1,4 +1,8 @@
-"""One-shot writes: start, check, commit, confirm, acknowledge."""
+"""The write path: single-request writes and their commits.
+
+The primary runs the statements, the proxy checks the term and commits, a
+majority confirms if the group asks for it, and the caller gets the answer.
+"""
 
 import attrs
 
@@ -14,11 +18,13 @@
 from tidegrade.core import _state
 from tidegrade.core import _types
 
-#: How long a commit or rollback may take after a deadline, in seconds.
-SETTLE_TIME = 1.0
+#: Time limit of a rollback, in seconds. A commit gets at least a tenth of
+#: it, even if the deadline of its request is closer.
+END_TXN_TIMEOUT_S = 1.0
 
-#: Failures that show that the request's key has no record of its own.
-_PAST_KEY = frozenset(
+#: Failures after which the idempotency key is known to have no record of
+#: this request, so no earlier try of the request has committed.
+_KEY_NOT_RECORDED = frozenset(
     {
         _jobs.Failure.STATEMENT,
         _jobs.Failure.KEY_REUSED,
@@ -27,14 +33,17 @@
 )
 
 
-#: Failures of a commit after which nothing is kept.
-ROLLED_BACK = frozenset({_jobs.Failure.STATEMENT, _jobs.Failure.NOT_PRIMARY})
+#: Failures of a commit that rolled the transaction back.
+ROLLED_BACK_FAILURES = frozenset(
+    {_jobs.Failure.STATEMENT, _jobs.Failure.NOT_PRIMARY}
+)
 
 
 class WritePath:
-    """Carries writes from the queue to their answers.
+    """Sends queued writes to the primary and answers them.
 
-    A method that gives True asks for the request to be tried again.
+    Unless stated otherwise, a method that returns a ``bool`` returns whether
+    the request must be tried again.
     """
 
     def __init__(
@@ -50,7 +59,7 @@
         self._budget = budget
 
     def place(self, pending: _pending.Pending, now: float) -> _reads.Placement:
-        """Try to hand a write to the primary."""
+        """Try to send a write to the primary."""
         conn = self.primary_conn(pending, now)
         if conn is None:
             return _reads.Placement.BLOCKED
@@ -61,7 +70,11 @@
     def primary_conn(
         self, pending: _pending.Pending, now: float
     ) -> _pool.Conn | None:
-        """Give an idle connection to a primary that may be written to."""
+        """Return an idle connection to the primary, if it may be written to.
+
+        Returns None without a primary, a permission to acknowledge or an
+        idle connection; in the last case one is opened if allowed.
+        """
         state = self._state
         pending.waiting_for = _types.Code.NO_PRIMARY
         pending.needs_permission = True
@@ -89,13 +102,17 @@
         outcome: _jobs.JobOutcome,
         now: float,
     ) -> bool:
-        """Take in the end of a write's statements; commit if all is well."""
+        """Handle the end of a write's statements.
+
+        The write is committed if the primary and the permission of the
+        current term still stand, and rolled back otherwise.
+        """
         pending.sent_to = ''
         if isinstance(outcome, _jobs.JobFailed):
             return self._start_failed(pending, outcome, now)
         state = self._state
         pending.results = outcome.results
-        if not self.right_primary(conn, outcome):
+        if not self.is_current_primary(conn, outcome):
             self.roll_back(conn, outcome, now)
             return self.again(pending, _types.Code.NO_PRIMARY, now)
         if outcome.replayed:
@@ -103,7 +120,7 @@
             self.committed(pending, outcome.after_lsn, now)
             return False
         if pending.req.key is not None:
-            # The key's record was free, so no earlier try has committed.
+            # The key had no record yet, so no earlier try has committed.
             pending.commit_sent = False
         if not state.may_acknowledge(now):
             self.roll_back(conn, outcome, now)
@@ -119,13 +136,13 @@
         sent_at: float,
         now: float,
     ) -> bool:
-        """Take in the end of a write that commits by itself."""
+        """Handle the end of a write that the endpoint commits by itself."""
         pending.sent_to = ''
         if isinstance(outcome, _jobs.JobFailed):
             return self._write_failed(pending, outcome, now)
         self._registry.service.served(now - sent_at)
         pending.results = outcome.results
-        if not self.right_primary(conn, outcome):
+        if not self.is_current_primary(conn, outcome):
             return self.unsettled(pending, _types.Code.UNCONFIRMED, now)
         self.committed(pending, outcome.after_lsn, now)
         return False
@@ -136,13 +153,19 @@
         failed: _jobs.JobFailed,
         now: float,
     ) -> bool:
-        """Nothing is kept unless the connection gave no clear answer."""
+        """Handle a failed write that the endpoint commits by itself.
+
+        It was rolled back, unless the connection was lost or timed out:
+        then its outcome is unknown.
+        """
         if failed.failure in (_jobs.Failure.LOST, _jobs.Failure.TIMEOUT):
             return self.unsettled(pending, _types.Code.CONN_LOST, now)
         pending.commit_sent = False
-        if failed.failure in _reads.NOT_RUN:
+        if failed.failure in _reads.NOT_RUN_CODES:
             self._state.order(_events.FetchRow())
-            return self.again(pending, _reads.NOT_RUN[failed.failure], now)
+            return self.again(
+                pending, _reads.NOT_RUN_CODES[failed.failure], now
+            )
         self._registry.refuse(
             pending, _types.Code.STATEMENT_FAILED, failed.detail
         )
@@ -155,14 +178,14 @@
         sent_at: float,
         now: float,
     ) -> bool:
-        """Take in the end of a commit."""
+        """Handle the end of a commit."""
         pending.sent_to = ''
         if isinstance(outcome, _jobs.JobDone):
             self._registry.service.served(now - sent_at)
             self.committed(pending, outcome.after_lsn, now)
             return False
-        if outcome.failure in ROLLED_BACK:
-            # The endpoint refused the commit, which rolls back.
+        if outcome.failure in ROLLED_BACK_FAILURES:
+            # The endpoint refused the commit and rolled back.
             pending.commit_sent = False
             self._registry.refuse(
                 pending, _types.Code.STATEMENT_FAILED, outcome.detail
@@ -173,14 +196,18 @@
     def committed(
         self, pending: _pending.Pending, lsn: int, now: float
     ) -> None:
-        """Let a committed write wait until enough endpoints hold it."""
+        """Queue a committed write until enough endpoints have confirmed it."""
         pending.commit_sent = True
         row = self._state.row
         assert row is not None
         self._confirmations.add(pending, lsn, row.term)
 
     def acknowledge(self, pending: _pending.Pending, now: float) -> bool:
-        """Acknowledge a confirmed write, if that is still permitted."""
+        """Acknowledge a confirmed write.
+
+        Without a valid permission of its term, the write may be lost in a
+        failover; its outcome is then treated as unknown.
+        """
         state = self._state
         if not state.may_acknowledge(now):
             return self.unsettled(pending, _types.Code.UNCONFIRMED, now)
@@ -205,7 +232,11 @@
     def unsettled(
         self, pending: _pending.Pending, code: _types.Code, now: float
     ) -> bool:
-        """Handle a write that may have committed: find out, or say so."""
+        """Handle a write that may have committed.
+
+        A repeatable write is retried, which finds out; the caller of any
+        other gets the outcome ``unknown``.
+        """
         pending.commit_sent = True
         if pending.repeatable:
             return self.again(pending, code, now)
@@ -215,10 +246,14 @@
     def again(
         self, pending: _pending.Pending, code: _types.Code, now: float
     ) -> bool:
-        """Let a request wait for another try, if budget and time allow."""
+        """Schedule another try of a request after a backoff.
+
+        The request is refused with ``code`` if its deadline comes first or
+        the retry budget is empty.
+        """
         pending.waiting_for = code
-        pause = _retry.pause(pending.tries, self._state.rng)
-        pending.not_before = now + pause
+        backoff = _retry.backoff(pending.tries, self._state.rng)
+        pending.not_before = now + backoff
         if pending.not_before >= pending.req.deadline:
             self._registry.refuse(pending, code)
             return False
@@ -227,8 +262,10 @@
             return False
         return True
 
-    def right_primary(self, conn: _pool.Conn, done: _jobs.JobDone) -> bool:
-        """Tell whether the connection is to the current term's primary."""
+    def is_current_primary(
+        self, conn: _pool.Conn, done: _jobs.JobDone
+    ) -> bool:
+        """Return whether the job ran on the current term's primary."""
         row = self._state.row
         if row is None or conn.endpoint != row.primary:
             return False
@@ -240,11 +277,14 @@
     def roll_back(
         self, conn: _pool.Conn, done: _jobs.JobDone, now: float
     ) -> None:
-        """Undo what was started on a connection, unless nothing was."""
+        """Roll back the transaction that a job has opened on a connection.
+
+        A replayed job has opened none.
+        """
         if done.replayed:
             return
         self._state.run(
-            conn, _jobs.RollbackJob(), None, now + SETTLE_TIME, now
+            conn, _jobs.RollbackJob(), None, now + END_TXN_TIMEOUT_S, now
         )
 
     def _job(
@@ -272,7 +312,7 @@
         pending.commit_sent = True
         pending.sent_to = conn.endpoint
         job = _jobs.CommitJob(pending.req.key, pending.results)
-        deadline = max(pending.req.deadline, now + SETTLE_TIME / 10)
+        deadline = max(pending.req.deadline, now + END_TXN_TIMEOUT_S / 10)
         self._state.run(conn, job, pending, deadline, now)
 
     def _start_failed(
@@ -281,10 +321,13 @@
         failed: _jobs.JobFailed,
         now: float,
     ) -> bool:
-        """Nothing was committed: the connection ended or rolled back."""
+        """Handle failed statements; the endpoint has committed nothing.
+
+        A lost connection leads to a retry, every other failure to a refusal.
+        """
         if failed.failure is _jobs.Failure.LOST:
             return self.again(pending, _types.Code.CONN_LOST, now)
-        if pending.req.key is not None and failed.failure in _PAST_KEY:
+        if pending.req.key is not None and failed.failure in _KEY_NOT_RECORDED:
             pending.commit_sent = False
         code = {
             _jobs.Failure.STATEMENT: _types.Code.STATEMENT_FAILED,
--- a/tests/core/test_checked_reads.py
+++ b/tests/core/test_checked_reads.py
@@ -1,4 +1,4 @@
-"""Reads whose position the endpoint itself checks."""
+"""Reads at endpoints that check positions themselves."""
 
 import machines
 
@@ -97,7 +97,10 @@
 
 
 def test_data_of_a_newer_term_grants_nothing_of_this_one(checking):
-    """Found on a day with a zone cut: a commit at the old primary."""
+    """Guards against commits at the former primary after a zone was cut off.
+
+    A report of a newer term must not renew the permission of this term.
+    """
     for name in machines.NAMES:
         checking.reports[name] = machines.report(
             3, marker=2, promised=0, in_recovery=name != 'b'
@@ -128,7 +131,10 @@
 
 
 def test_a_process_that_stood_still_blames_no_endpoint(checking):
-    """Found by the soak, seed 210: it replaced a healthy primary."""
+    """Guards against the failover of a healthy primary.
+
+    Answers are overdue after a pause because the proxy itself was suspended.
+    """
     checking.frozen = set(machines.NAMES)
     for _ in range(30):
         checking.tick()
@@ -192,14 +198,20 @@
 
 
 def test_members_that_no_list_names_are_left_out_of_polls(checking):
-    """Found on a day with restarts while the list lacked a member."""
+    """Guards against polls of a member that the endpoint list lacks.
+
+    The row can name such a member while endpoints restart.
+    """
     row = core.GroupRow(2, 'b', frozenset({'a', 'b', 'gone'}))
     checking.tell(core.RowSeen(row))
     checking.tick(1.0)
 
 
-def test_who_is_not_registered_dates_no_position(checking):
-    """Another endpoint may lead without anybody waiting for this proxy."""
+def test_an_unregistered_proxy_dates_no_position(checking):
+    """A failover doesn't wait for a proxy that is not registered.
+
+    Another endpoint may therefore already be the primary.
+    """
     checking.tell(core.Registered(False))
     checking.read(1, max_age=2.0, deadline=checking.now + 0.3)
     for _ in range(20):
@@ -209,7 +221,11 @@
 
 
 def test_fenced_replicas_serve_on_from_the_former_term(checking):
-    """Found on days with a change of primary, which served all reads."""
+    """Guards against a failover that sends all reads to the new primary.
+
+    A read with a maximum age can use a position of the former term, which
+    fenced replicas have applied.
+    """
     checking.reports['b'] = machines.report(3, marker=2, in_recovery=False)
     row = core.GroupRow(2, 'b', frozenset(machines.NAMES))
     checking.tell(core.RowSeen(row))
@@ -265,7 +281,10 @@
 
 
 def test_a_former_position_ends_where_the_permission_was_given_up(checking):
-    """After that another may have led: what was shown then is no date."""
+    """Another endpoint may be the primary once the permission is given up.
+
+    Positions that the former primary reports later can't date a read.
+    """
     checking.tell(core.GiveUp(2))
     checking.tick(1.0)
     checking.reports['a'] = machines.report(500, in_recovery=False)
@@ -279,10 +298,10 @@
 
 
 def test_a_term_without_a_commit_dates_no_position(checking):
-    """Found by hunts, STALE: a replica followed, but lacked former commits.
+    """Guards against stale reads at a replica that lacks former commits.
 
-    It stood at 1.67 of a log whose former term had ended at 1.88, and had
-    position 2.0 nevertheless.
+    Such a replica had applied the log up to 1.67, while term 1 had ended
+    at 1.88, and still counted as having position 2.0.
     """
     for name in machines.NAMES:
         checking.reports[name] = machines.report(
--- a/tests/core/test_reads.py
+++ b/tests/core/test_reads.py
@@ -20,7 +20,7 @@
 
 
 def test_cached_positions_are_never_trusted_alone(machine):
-    """The replica said 100 before; on the answering connection it has 10."""
+    """The replica reported 100 before; its answer carries position 10."""
     machine.reports['b'] = machine.reports['c'] = machines.report(10)
     machine.read(1, floor=core.Position(1, 100))
     for _ in range(40):
@@ -29,7 +29,11 @@
 
 
 def test_a_former_primary_is_no_replica(machine):
-    """Found with real processes: a thawed primary that says it is one."""
+    """Guards against reads at a primary of a former term.
+
+    A primary that was suspended during a failover still reports itself as
+    the primary when it resumes.
+    """
     machine.reports['b'] = machines.report(100, in_recovery=False)
     machine.reports['c'] = machines.report(100, marker=0)
     for _ in range(20):
@@ -92,8 +96,8 @@
     assert machine.answers[1].retry_after > 0
 
 
-def test_a_bound_that_nobody_meets_is_told(machine):
-    """The primary is gone and the replicas grow older than the bound."""
+def test_an_unmet_staleness_bound_is_reported(machine):
+    """The primary takes no work and the replicas exceed the maximum age."""
     for name in ('b', 'c'):
         machine.reports[name] = machines.report(50)
     machine.tell(core.LeavingChanged(frozenset({'a'})))
@@ -106,8 +110,11 @@
     assert machine.answers[1].outcome is core.Outcome.NOT_RUN
 
 
-def test_a_primary_that_lacks_the_position_is_not_hammered(machine):
-    """It looped without end once: tries at the primary had no pause."""
+def test_a_primary_that_lacks_the_position_is_retried_with_backoff(machine):
+    """Guards against an endless loop of tries without a backoff.
+
+    It occurs when the primary itself lacks the required position.
+    """
     machine.read(1, floor=core.Position(1, 10**6), deadline=machine.now + 1)
     for _ in range(60):
         machine.tick()
@@ -117,7 +124,7 @@
 
 
 def test_a_token_newer_than_every_sample_waits_for_a_replica(machine):
-    """The write was acknowledged through another proxy just now."""
+    """Another proxy has just acknowledged the write of the session."""
     machine.read(1, floor=core.Position(1, 150))
     machine.reports['a'] = machines.report(150, in_recovery=False)
     machine.reports['b'] = machine.reports['c'] = machines.report(150)
@@ -130,7 +137,10 @@
 def test_a_write_stuck_at_a_frozen_primary_goes_on_in_the_new_term(
     machine, key
 ):
-    """Real callers waited out their deadlines: 3.2 s instead of one."""
+    """Guards against a write that stays at a frozen primary.
+
+    Its caller waited for the deadline: 3.2 s instead of one second.
+    """
     machine.frozen.add('a')
     machine.write(1, key)
     machine.tick()
@@ -142,7 +152,11 @@
 
 
 def test_an_error_of_a_replica_that_lags_is_not_the_answer(machine):
-    """It lacked a table that the session had seen made: a false 422."""
+    """Guards against an error that is due to the lag of a replica.
+
+    The replica lacked a table that the session had created, so the caller
+    got status 422 for a valid statement.
+    """
     machine.failing = {'b', 'c'}
     machine.read(1, floor=core.Position(1, 150))
     machine.reports['a'] = machines.report(150, in_recovery=False)
--- a/tests/core/test_sources.py
+++ b/tests/core/test_sources.py
@@ -1,4 +1,4 @@
-"""Whom to ask for what several others have."""
+"""The choice of the proxy to pull a document from."""
 
 import random
 
@@ -27,7 +27,7 @@
     assert all(s.near for s in order[: len(NEAR)])
 
 
-def test_askers_spread_over_those_that_are_near(make):
+def test_random_choice_spreads_over_the_near_sources(make):
     first = {make(seed).choose(NEAR).proxy for seed in range(40)}
     assert len(first) == len(NEAR)
 
--- a/tests/core/test_txns.py
+++ b/tests/core/test_txns.py
@@ -31,7 +31,7 @@
     assert answer.outcome is core.Outcome.NOT_RUN
 
 
-def test_a_transaction_in_use_ends_at_its_limit_all_the_same(machine):
+def test_a_transaction_in_use_ends_at_its_time_limit(machine):
     txn = step(machine, 1, core.Kind.BEGIN).txn
     cfg = machine.core.cfg
     req_id = 1
@@ -57,7 +57,9 @@
     assert answer.outcome is core.Outcome.NOT_RUN
 
 
-def test_a_draining_proxy_begins_none_and_finishes_the_open(machine):
+def test_a_draining_proxy_refuses_begins_and_finishes_open_transactions(
+    machine,
+):
     txn = step(machine, 1, core.Kind.BEGIN).txn
     machine.tell(core.DrainStarted())
     assert step(machine, 2, core.Kind.BEGIN).code is core.Code.DRAINING
