--- a/src/tidegrade/core/__init__.py
+++ b/src/tidegrade/core/__init__.py
@@ -86,7 +86,7 @@
 from tidegrade.core._row import GroupRow
 from tidegrade.core._row import TERMS_A_GENERATION
 from tidegrade.core._sources import Source
-from tidegrade.core._sources import Sources
+from tidegrade.core._sources import SourceSelector
 from tidegrade.core._state import LONGEST_DELAY
 from tidegrade.core._state import LONGEST_PAUSE
 from tidegrade.core._state import MachineSettings
@@ -192,7 +192,7 @@
     'SessionToken',
     'SetupJob',
     'Source',
-    'Sources',
+    'SourceSelector',
     'StartJob',
     'Statement',
     'StatusJob',
--- a/src/tidegrade/core/_dispatch.py
+++ b/src/tidegrade/core/_dispatch.py
@@ -88,9 +88,9 @@
 
     def _ahead_of(self, pending: _pending.Pending, now: float) -> int:
         """Count the waiting requests that go before a new one."""
-        own = self._rank(pending, now).between
+        own = self._rank(pending, now).across_tenants
         return sum(
-            self._rank(other, now).between <= own
+            self._rank(other, now).across_tenants <= own
             for other in self._queue_of(pending)
         )
 
--- a/src/tidegrade/core/_choice.py
+++ b/src/tidegrade/core/_election.py
@@ -7,7 +7,7 @@
 
 
 @attrs.frozen
-class Candidates:
+class ElectionState:
     """The state from which the next primary is chosen.
 
     ``fenced`` holds the reports of the endpoints that have promised the
@@ -22,7 +22,7 @@
     may_wait: bool
 
 
-def choose(row: _row.GroupRow, known: Candidates) -> str | None:
+def choose_primary(row: _row.GroupRow, known: ElectionState) -> str | None:
     """Return the endpoint to promote, or None if none is safe yet.
 
     A majority of the members holds every confirmed write, so any fenced
@@ -50,7 +50,7 @@
     return best
 
 
-def enough_fenced(
+def has_fenced_majorities(
     row: _row.GroupRow, fenced: set[str], to_come: frozenset[str]
 ) -> bool:
     """Return whether enough endpoints are fenced to choose a primary.
--- a/src/tidegrade/core/_failover.py
+++ b/src/tidegrade/core/_failover.py
@@ -23,7 +23,7 @@
 
 import attrs
 
-from tidegrade.core import _choice
+from tidegrade.core import _election
 from tidegrade.core import _jobs
 from tidegrade.core import _membership
 from tidegrade.core import _permission
@@ -345,7 +345,7 @@
         if promised < row.attempt.next_term:
             return
         self._work.fenced[name] = report
-        enough = _choice.enough_fenced(
+        enough = _election.has_fenced_majorities(
             row, set(self._work.fenced), self._work.to_come
         )
         if self._step is Step.FENCE and enough:
@@ -415,7 +415,7 @@
         row, seen = self._work.row, self._seen
         assert row is not None and seen is not None
         assert row.attempt is not None
-        known = _choice.Candidates(
+        known = _election.ElectionState(
             fenced={
                 name: report
                 for name, report in self._work.fenced.items()
@@ -426,7 +426,7 @@
             may_wait=not self._traits.fence_stops_replication
             and now - self._since < CATCH_UP_LIMIT,
         )
-        chosen = _choice.choose(row, known)
+        chosen = _election.choose_primary(row, known)
         if chosen is None:
             return False
         self._record(chosen, now)
--- a/src/tidegrade/core/_group.py
+++ b/src/tidegrade/core/_group.py
@@ -188,12 +188,12 @@
     def _request_arrived(
         self, event: _events.RequestArrived, now: float
     ) -> None:
-        self._budget.earned()
+        self._budget.deposit()
         pending = self._registry.admit(event.req, now)
         if event.req.deadline <= now:
             self._registry.refuse(pending, _types.Code.DEADLINE)
         elif event.req.kind in _TXN_KINDS:
-            self._txns.use(pending, now)
+            self._txns.run_step(pending, now)
         elif self._state.draining and event.req.kind is _types.Kind.BEGIN:
             self._registry.refuse(pending, _types.Code.DRAINING)
         else:
@@ -317,14 +317,16 @@
         now: float,
     ) -> bool:
         if isinstance(job, _jobs.ReadJob):
-            return self._reads.ended(pending, conn, outcome, sent_at, now)
+            return self._reads.read_ended(pending, conn, outcome, sent_at, now)
         if isinstance(job, _jobs.CommitJob):
             return self._writes.commit_ended(pending, outcome, sent_at, now)
         if isinstance(job, _jobs.WriteJob):
-            return self._writes.written(pending, conn, outcome, sent_at, now)
+            return self._writes.write_ended(
+                pending, conn, outcome, sent_at, now
+            )
         if pending.req.kind is _types.Kind.BEGIN:
-            return self._txns.begun(pending, conn, outcome, now)
-        return self._writes.started(pending, conn, outcome, now)
+            return self._txns.begin_ended(pending, conn, outcome, now)
+        return self._writes.start_ended(pending, conn, outcome, now)
 
     # The term, the configuration and the peers ----------------------------
 
@@ -351,9 +353,9 @@
         self._state.permission.start_term(row.term, rules)
         self._state.samples.clear()
         self._leave_others(row.primary, now)
-        self._txns.end_elsewhere(row.primary, now)
+        self._txns.end_off_primary(row.primary, now)
         for pending in self._confirmations.take_before(row.term):
-            again = self._writes.unsettled(
+            again = self._writes.handle_unknown_outcome(
                 pending, _types.Code.UNCONFIRMED, now
             )
             self._retry_if(again, pending)
--- a/src/tidegrade/core/_order.py
+++ b/src/tidegrade/core/_order.py
@@ -31,12 +31,12 @@
     arrived: float
 
     @property
-    def between(self) -> tuple[bool, int]:
+    def across_tenants(self) -> tuple[bool, int]:
         """The sort key among the requests of different tenants."""
         return (self.late, self.priority)
 
     @property
-    def within(self) -> tuple[bool, int, float]:
+    def within_tenant(self) -> tuple[bool, int, float]:
         """The sort key among the requests of one tenant."""
         return (self.late, self.priority, self.arrived)
 
--- a/src/tidegrade/core/_queue.py
+++ b/src/tidegrade/core/_queue.py
@@ -50,10 +50,10 @@
         whose tenant was served longer ago.
         """
         found = [
-            (tenant, min(line, key=lambda item: rank(item).within))
+            (tenant, min(line, key=lambda item: rank(item).within_tenant))
             for tenant, line in self._lines.items()
         ]
-        found.sort(key=lambda head: rank(head[1]).between)
+        found.sort(key=lambda head: rank(head[1]).across_tenants)
         return found
 
     def take(self, tenant: str, item: T) -> None:
--- a/src/tidegrade/core/_reads.py
+++ b/src/tidegrade/core/_reads.py
@@ -88,7 +88,7 @@
             return Placement.BLOCKED
         return self._to_primary(pending, row, need, now)
 
-    def ended(
+    def read_ended(
         self,
         pending: _pending.Pending,
         conn: _pool.Conn,
--- a/src/tidegrade/core/_retry.py
+++ b/src/tidegrade/core/_retry.py
@@ -23,11 +23,11 @@
 
     saved: float = MAX_SAVED_RETRIES
 
-    def earned(self) -> None:
+    def deposit(self) -> None:
         """Add the retries that one arriving request earns."""
         self.saved = min(self.saved + RETRIES_PER_REQUEST, MAX_SAVED_RETRIES)
 
-    def take(self) -> bool:
+    def withdraw(self) -> bool:
         """Spend one retry; return whether there was one."""
         if self.saved < 1:
             return False
--- a/src/tidegrade/core/_sources.py
+++ b/src/tidegrade/core/_sources.py
@@ -23,7 +23,7 @@
     near: bool
 
 
-class Sources:
+class SourceSelector:
     """Chooses the proxies to pull from, one after another."""
 
     def __init__(self, rng: random.Random) -> None:
@@ -42,10 +42,10 @@
             return None
         return self._rng.choice(near or unasked)
 
-    def asked(self, source: Source) -> None:
+    def mark_asked(self, source: Source) -> None:
         """Record that a source is being asked."""
         self._asked.add(source.proxy)
 
-    def start_over(self) -> None:
+    def reset(self) -> None:
         """Make every source available again."""
         self._asked.clear()
--- a/src/tidegrade/core/_txns.py
+++ b/src/tidegrade/core/_txns.py
@@ -90,7 +90,7 @@
         self._state.run(conn, job, pending, req.deadline, now)
         return _reads.Placement.TAKEN
 
-    def begun(
+    def begin_ended(
         self,
         pending: _pending.Pending,
         conn: _pool.Conn,
@@ -107,7 +107,7 @@
         ):
             self._writes.roll_back(conn, outcome, now)
             code = _types.Code.NO_PRIMARY
-            return self._writes.again(pending, code, now)
+            return self._writes.schedule_retry(pending, code, now)
         txn = self._register(conn, pending, now)
         row = self._state.row
         assert row is not None
@@ -144,7 +144,7 @@
         if failure is _jobs.Failure.BEHIND:
             pending.misses += 1
         code = _reads.NOT_RUN_CODES.get(failure, _types.Code.CONN_LOST)
-        return self._writes.again(pending, code, now)
+        return self._writes.schedule_retry(pending, code, now)
 
     def _has_capacity(self) -> bool:
         """Return whether another transaction may open.
@@ -177,7 +177,7 @@
 
     # Steps ----------------------------------------------------------------
 
-    def use(self, pending: _pending.Pending, now: float) -> None:
+    def run_step(self, pending: _pending.Pending, now: float) -> None:
         """Run a statement, commit or rollback in an open transaction.
 
         A request for an unknown transaction, or for one in which another
@@ -301,7 +301,9 @@
             if step.txn.read_only:
                 self._answer_read_only(step)
             else:
-                self._writes.committed(step.pending, outcome.after_lsn, now)
+                self._writes.await_confirmation(
+                    step.pending, outcome.after_lsn, now
+                )
         elif (
             step.txn.read_only
             or outcome.failure in _writes.ROLLED_BACK_FAILURES
@@ -351,7 +353,7 @@
             if txn.conn == conn.id:
                 self._forget(txn)
 
-    def end_elsewhere(self, primary: str, now: float) -> None:
+    def end_off_primary(self, primary: str, now: float) -> None:
         """Roll back idle transactions on endpoints other than ``primary``."""
         for txn in list(self._open.values()):
             conn = self._state.pool.get(txn.conn)
--- a/src/tidegrade/core/_writes.py
+++ b/src/tidegrade/core/_writes.py
@@ -95,7 +95,7 @@
         pending.tries += 1
         return conn
 
-    def started(
+    def start_ended(
         self,
         pending: _pending.Pending,
         conn: _pool.Conn,
@@ -114,21 +114,21 @@
         pending.results = outcome.results
         if not self.is_current_primary(conn, outcome):
             self.roll_back(conn, outcome, now)
-            return self.again(pending, _types.Code.NO_PRIMARY, now)
+            return self.schedule_retry(pending, _types.Code.NO_PRIMARY, now)
         if outcome.replayed:
             pending.replayed = True
-            self.committed(pending, outcome.after_lsn, now)
+            self.await_confirmation(pending, outcome.after_lsn, now)
             return False
         if pending.req.key is not None:
             # The key had no record yet, so no earlier try has committed.
             pending.commit_sent = False
         if not state.may_acknowledge(now):
             self.roll_back(conn, outcome, now)
-            return self.again(pending, _types.Code.NO_PRIMARY, now)
+            return self.schedule_retry(pending, _types.Code.NO_PRIMARY, now)
         self._commit(pending, conn, now)
         return False
 
-    def written(
+    def write_ended(
         self,
         pending: _pending.Pending,
         conn: _pool.Conn,
@@ -143,8 +143,10 @@
         self._registry.service.served(now - sent_at)
         pending.results = outcome.results
         if not self.is_current_primary(conn, outcome):
-            return self.unsettled(pending, _types.Code.UNCONFIRMED, now)
-        self.committed(pending, outcome.after_lsn, now)
+            return self.handle_unknown_outcome(
+                pending, _types.Code.UNCONFIRMED, now
+            )
+        self.await_confirmation(pending, outcome.after_lsn, now)
         return False
 
     def _write_failed(
@@ -159,11 +161,13 @@
         then its outcome is unknown.
         """
         if failed.failure in (_jobs.Failure.LOST, _jobs.Failure.TIMEOUT):
-            return self.unsettled(pending, _types.Code.CONN_LOST, now)
+            return self.handle_unknown_outcome(
+                pending, _types.Code.CONN_LOST, now
+            )
         pending.commit_sent = False
         if failed.failure in _reads.NOT_RUN_CODES:
             self._state.order(_events.FetchRow())
-            return self.again(
+            return self.schedule_retry(
                 pending, _reads.NOT_RUN_CODES[failed.failure], now
             )
         self._registry.refuse(
@@ -182,7 +186,7 @@
         pending.sent_to = ''
         if isinstance(outcome, _jobs.JobDone):
             self._registry.service.served(now - sent_at)
-            self.committed(pending, outcome.after_lsn, now)
+            self.await_confirmation(pending, outcome.after_lsn, now)
             return False
         if outcome.failure in ROLLED_BACK_FAILURES:
             # The endpoint refused the commit and rolled back.
@@ -191,9 +195,9 @@
                 pending, _types.Code.STATEMENT_FAILED, outcome.detail
             )
             return False
-        return self.unsettled(pending, _types.Code.CONN_LOST, now)
+        return self.handle_unknown_outcome(pending, _types.Code.CONN_LOST, now)
 
-    def committed(
+    def await_confirmation(
         self, pending: _pending.Pending, lsn: int, now: float
     ) -> None:
         """Queue a committed write until enough endpoints have confirmed it."""
@@ -210,7 +214,9 @@
         """
         state = self._state
         if not state.may_acknowledge(now):
-            return self.unsettled(pending, _types.Code.UNCONFIRMED, now)
+            return self.handle_unknown_outcome(
+                pending, _types.Code.UNCONFIRMED, now
+            )
         row = state.row
         assert row is not None
         _types.invariant(
@@ -229,7 +235,7 @@
         self._registry.answer(pending, answer)
         return False
 
-    def unsettled(
+    def handle_unknown_outcome(
         self, pending: _pending.Pending, code: _types.Code, now: float
     ) -> bool:
         """Handle a write that may have committed.
@@ -239,11 +245,11 @@
         """
         pending.commit_sent = True
         if pending.repeatable:
-            return self.again(pending, code, now)
+            return self.schedule_retry(pending, code, now)
         self._registry.unknown(pending, code)
         return False
 
-    def again(
+    def schedule_retry(
         self, pending: _pending.Pending, code: _types.Code, now: float
     ) -> bool:
         """Schedule another try of a request after a backoff.
@@ -257,7 +263,7 @@
         if pending.not_before >= pending.req.deadline:
             self._registry.refuse(pending, code)
             return False
-        if not self._budget.take():
+        if not self._budget.withdraw():
             self._registry.refuse(pending, code)
             return False
         return True
@@ -326,7 +332,7 @@
         A lost connection leads to a retry, every other failure to a refusal.
         """
         if failed.failure is _jobs.Failure.LOST:
-            return self.again(pending, _types.Code.CONN_LOST, now)
+            return self.schedule_retry(pending, _types.Code.CONN_LOST, now)
         if pending.req.key is not None and failed.failure in _KEY_NOT_RECORDED:
             pending.commit_sent = False
         code = {
--- a/src/tidegrade/session_proxy/_config_fetch.py
+++ b/src/tidegrade/session_proxy/_config_fetch.py
@@ -37,7 +37,7 @@
 class _Pursuit:
     """One configuration being fetched, until it is there."""
 
-    sources: core.Sources
+    sources: core.SourceSelector
     in_flight: int = 0
     #: The newest version that was got; it is in force a moment later.
     got: int = 0
@@ -78,7 +78,7 @@
 
     async def _pursue(self) -> None:
         """Ask one proxy after another until nobody has anything newer."""
-        pursuit = _Pursuit(core.Sources(self._rng))
+        pursuit = _Pursuit(core.SourceSelector(self._rng))
         async with anyio.create_task_group() as tasks:
             while having := self._having(max(self._version(), pursuit.got)):
                 answered = pursuit.answered
@@ -98,7 +98,7 @@
             return
         source = pursuit.sources.choose(having)
         if source is None:
-            pursuit.sources.start_over()
+            pursuit.sources.reset()
             return
         if not source.near and not pursuit.far_allowed:
             pursuit.far_allowed = True
@@ -107,7 +107,7 @@
             source = pursuit.sources.choose(having)
         if source is None:
             return
-        pursuit.sources.asked(source)
+        pursuit.sources.mark_asked(source)
         pursuit.in_flight += 1
         tasks.start_soon(self._ask, pursuit, source.proxy)
 
--- a/tests/core/test_checked_reads.py
+++ b/tests/core/test_checked_reads.py
@@ -121,7 +121,7 @@
     assert checking.core.may_acknowledge(checking.now)
 
 
-def test_a_process_that_stood_still_asks_for_the_row_first(checking):
+def test_a_suspended_process_asks_for_the_row_first(checking):
     assert checking.core.may_acknowledge(checking.now)
     checking.tell(core.Paused(2.0))
     checking.tell(core.RowSeen(machines.ROW, checking.now - 1.0))
@@ -130,7 +130,7 @@
     assert checking.core.may_acknowledge(checking.now)
 
 
-def test_a_process_that_stood_still_blames_no_endpoint(checking):
+def test_a_suspended_process_suspects_no_endpoint(checking):
     """Guards against the failover of a healthy primary.
 
     Answers are overdue after a pause because the proxy itself was suspended.
--- a/tests/core/test_reads.py
+++ b/tests/core/test_reads.py
@@ -43,7 +43,7 @@
     assert {a.endpoint for a in machine.answers.values()} == {'a'}
 
 
-def test_a_lost_history_is_told(machine):
+def test_a_lost_history_is_reported(machine):
     row = core.GroupRow(2, 'b', frozenset(machines.NAMES), (core.Fork(1, 90),))
     machine.tell(core.RowSeen(row))
     machine.read(1, floor=core.Position(1, 100))
--- a/tests/core/test_sources.py
+++ b/tests/core/test_sources.py
@@ -12,14 +12,14 @@
 
 @pytest.fixture
 def make():
-    return lambda seed=1: core.Sources(random.Random(seed))
+    return lambda seed=1: core.SourceSelector(random.Random(seed))
 
 
 def test_each_is_asked_once_and_near_ones_first(make):
     sources = make()
     order = []
     while (source := sources.choose(NEAR + FAR)) is not None:
-        sources.asked(source)
+        sources.mark_asked(source)
         order.append(source)
     assert sorted(s.proxy for s in order) == sorted(
         s.proxy for s in NEAR + FAR
@@ -34,7 +34,7 @@
 
 def test_all_may_be_asked_once_more(make):
     sources = make()
-    sources.asked(NEAR[0])
+    sources.mark_asked(NEAR[0])
     assert sources.choose(NEAR[:1]) is None
-    sources.start_over()
+    sources.reset()
     assert sources.choose(NEAR[:1]) == NEAR[0]
