--- a/src/tidegrade/core/_adoption.py
+++ b/src/tidegrade/core/_adoption.py
@@ -1,4 +1,4 @@
-"""Which configuration a proxy has in force; versions only rise."""
+"""The configuration that a proxy has in force; its version is monotonic."""
 
 import attrs
 
@@ -7,7 +7,7 @@
 
 @attrs.frozen
 class ConfigRef:
-    """An accepted configuration: its version and its content's hash."""
+    """An accepted configuration: its version and the hash of its content."""
 
     version: int
     sha256: str
@@ -15,10 +15,11 @@
 
 @attrs.define
 class Adoption:
-    """The configuration in force and the newest one heard of.
+    """The configuration in force and the newest one that is known.
 
-    ``went_back`` counts sightings of the platform's store showing an
-    older version than one that was accepted before.
+    ``wanted`` is a newer version whose content has not been fetched yet.
+    ``went_back`` counts the reads in which the platform's store returned an
+    older version than the one in force.
     """
 
     in_force: ConfigRef | None = None
@@ -27,11 +28,14 @@
 
     @property
     def version(self) -> int:
-        """Give the version in force, 0 before the first."""
+        """The version in force, 0 before the first."""
         return self.in_force.version if self.in_force else 0
 
     def heard(self, ref: ConfigRef) -> bool:
-        """Take in a reference; tell whether its content is wanted now."""
+        """Record a reference and return whether its content must be fetched.
+
+        A version that is not newer than the newest known one is ignored.
+        """
         known = self.wanted or self.in_force
         if known is not None and ref.version <= known.version:
             return False
@@ -39,13 +43,13 @@
         return True
 
     def stored(self, ref: ConfigRef | None) -> None:
-        """Take in what the platform's store shows, to notice a step back."""
+        """Count it in ``went_back`` if the store shows an older version."""
         shown = ref.version if ref else 0
         if shown < self.version:
             self.went_back += 1
 
     def adopt(self, ref: ConfigRef) -> bool:
-        """Put a configuration in force unless a newer one is already."""
+        """Put a newer configuration in force; return whether it was newer."""
         if ref.version <= self.version:
             return False
         self.in_force = ref
@@ -53,6 +57,6 @@
             self.wanted = None
         _types.invariant(
             self.wanted is None or self.wanted.version > ref.version,
-            'a configuration went back',
+            'the wanted configuration is not newer than the one in force',
         )
         return True
--- a/src/tidegrade/core/_confirm.py
+++ b/src/tidegrade/core/_confirm.py
@@ -1,4 +1,4 @@
-"""Committed writes that wait until enough endpoints hold them."""
+"""Committed writes that wait for replication to a majority."""
 
 from tidegrade import config
 from tidegrade.core import _pending
@@ -6,7 +6,7 @@
 
 
 class Confirmations:
-    """Writes committed on the primary and not yet acknowledged."""
+    """The writes committed on the primary and not yet acknowledged."""
 
     def __init__(self, state: _state.GroupState) -> None:
         self._state = state
@@ -16,18 +16,18 @@
         return len(self._waiting)
 
     def add(self, pending: _pending.Pending, lsn: int, term: int) -> None:
-        """Let a committed write wait for ``lsn`` of ``term``."""
+        """Add a committed write that waits for ``lsn`` of ``term``."""
         pending.confirm_lsn = lsn
         pending.confirm_term = term
         self._waiting.append(pending)
 
     def discard(self, pending: _pending.Pending) -> None:
-        """Forget a write that was answered otherwise."""
+        """Remove a write that has been answered for another reason."""
         if pending in self._waiting:
             self._waiting.remove(pending)
 
     def take_confirmed(self) -> list[_pending.Pending]:
-        """Take out the writes that enough endpoints hold by now."""
+        """Remove and return the writes that a majority now holds."""
         if not self._waiting:
             return []
         held = self.held_lsn()
@@ -37,38 +37,39 @@
         return ready
 
     def take_before(self, term: int) -> list[_pending.Pending]:
-        """Take out the writes of terms before ``term``."""
+        """Remove and return the writes of terms before ``term``."""
         old = [p for p in self._waiting if p.confirm_term < term]
         self._waiting = [p for p in self._waiting if p not in old]
         return old
 
     def held_lsn(self) -> int:
-        """Give the position that a majority of the group holds.
+        """Return the highest LSN that a majority of the group holds.
 
-        The primary counts as holding everything it has committed. A
-        replica counts only if its data bears the current term's marker.
+        The primary counts as holding everything that it has committed. A
+        replica counts only if its data carries the marker of the current
+        term. The result is -1 if too few replicas are known.
         """
         state = self._state
         if state.cfg.acknowledge is config.Acknowledge.PRIMARY:
-            return _EVERYTHING
-        needed = self._needed()
+            return _MAX_LSN
+        needed = self._replicas_needed()
         if needed == 0:
-            return _EVERYTHING
+            return _MAX_LSN
         held = sorted(
             (self._received(name) for name in self._replicas()),
             reverse=True,
         )
         return held[needed - 1] if len(held) >= needed else -1
 
-    def lacking(self) -> list[str]:
-        """Give the replicas to ask whether they hold the oldest write."""
+    def lagging_replicas(self) -> list[str]:
+        """Return the replicas not known to hold the oldest waiting write."""
         if not self._waiting:
             return []
         first = min(p.confirm_lsn for p in self._waiting)
         return [n for n in self._replicas() if self._received(n) < first]
 
-    def _needed(self) -> int:
-        """Give how many replicas make a majority with the primary."""
+    def _replicas_needed(self) -> int:
+        """Return how many replicas form a majority with the primary."""
         row = self._state.row
         return row.majority - 1 if row is not None else 1
 
@@ -86,5 +87,5 @@
         return report.received_lsn
 
 
-#: Above every position that a log can have.
-_EVERYTHING = 2**64
+#: Greater than any LSN of a log.
+_MAX_LSN = 2**64
--- a/src/tidegrade/core/_detector.py
+++ b/src/tidegrade/core/_detector.py
@@ -1,4 +1,4 @@
-"""Telling a failed primary from a slow one."""
+"""Failure detection: distinguishes a failed primary from a slow one."""
 
 from collections.abc import Sequence
 
@@ -7,53 +7,58 @@
 from tidegrade import config
 from tidegrade.core import _view
 
-#: Silence after which a primary whose machine refuses connections is down.
-REFUSED_SILENCE = 0.12
-#: Failed attempts that such a judgement needs.
-REFUSED_FAILURES = 2
+#: Time without an answer, in seconds, after which a primary whose machine
+#: refuses connections counts as down.
+REFUSED_DOWN_AFTER_S = 0.12
+#: Failed attempts that are also required to count it as down.
+MIN_REFUSED_FAILURES = 2
 
 
 def is_down(view: _view.EndpointView, cfg: config.Group, now: float) -> bool:
-    """Tell whether this proxy takes an endpoint for failed.
+    """Return whether this proxy counts an endpoint as failed.
 
-    A refused connection is an answer of the machine and counts fast; mere
-    silence may be a slow endpoint, and needs the configured time.
+    A refused connection shows that the machine answers but the database does
+    not, so a short time suffices. An endpoint that does not answer may only
+    be slow, so the configured ``suspect_after_s`` must pass.
     """
     if not view.failures:
         return False
-    silent_since = max(view.seen_at, float('-inf'))
-    if silent_since == float('-inf'):
-        silent_since = view.first_failure
-    silent = now - silent_since
-    if view.refused and view.failures >= REFUSED_FAILURES:
-        return silent > REFUSED_SILENCE
-    return silent > cfg.suspect_after_s
+    last_answer_at = max(view.seen_at, float('-inf'))
+    if last_answer_at == float('-inf'):
+        last_answer_at = view.first_failure
+    unanswered = now - last_answer_at
+    if view.refused and view.failures >= MIN_REFUSED_FAILURES:
+        return unanswered > REFUSED_DOWN_AFTER_S
+    return unanswered > cfg.suspect_after_s
 
 
 def has_stepped_down(view: _view.EndpointView, term_since: float) -> bool:
-    """Tell whether a term's primary has since said that it follows.
+    """Return whether a term's primary has reported that it is a replica.
 
-    ``term_since`` is when this proxy learned of the term. An order of a
-    superseded supervisor that comes late has this effect, and so may the
-    primary's restart. It answers all the same: without this rule no write
-    was taken until the end of the run, 28 s later (three proxies, one run).
+    ``term_since`` is the time at which this proxy learned of the term. A
+    late order of a superseded supervisor can make the primary a replica, and
+    so can its restart. The endpoint still answers polls and would not count
+    as down otherwise: without this rule no write succeeded for 28 s in a
+    group of three proxies.
     """
     return view.followed_at > term_since
 
 
 @attrs.frozen
 class Opinion:
-    """What a proxy thinks of a group's primary in a term."""
+    """A proxy's verdict on a group's primary in one term."""
 
     proxy: str
     term: int
     primary_down: bool
 
 
-def agreed_down(own: Opinion, others: Sequence[Opinion]) -> bool:
-    """Tell whether most proxies that can be heard find the primary down.
+def is_agreed_down(own: Opinion, others: Sequence[Opinion]) -> bool:
+    """Return whether most proxies consider the primary down.
 
-    Opinions on another term say nothing about this primary.
+    Only the own opinion and those of ``others`` on the same term count, since
+    another term may have another primary. The result is False unless this
+    proxy considers the primary down itself.
     """
     if not own.primary_down:
         return False
--- a/src/tidegrade/core/_evidence.py
+++ b/src/tidegrade/core/_evidence.py
@@ -1,8 +1,8 @@
-"""What proxies tell each other of a group's endpoints.
+"""Endpoint reports of a group that proxies share with each other.
 
-A report of an endpoint costs a slot, so one proxy asks and the others ask
-that proxy. Everything bears the time at which the endpoint was asked, so
-that it counts for no more than if it had been asked directly.
+A report occupies a slot of the endpoint, so one proxy requests it and the
+others request it from that proxy. All data carries the time at which the
+endpoint was asked, so that it is not treated as newer than it is.
 """
 
 import attrs
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class MemberGrant:
-    """At ``at`` the member had promised no term above ``promised``."""
+    """A member that at ``at`` had promised no term above ``promised``."""
 
     member: str
     promised: int
@@ -19,11 +19,11 @@
 
 @attrs.frozen
 class Evidence:
-    """What was seen of a group in one term.
+    """The grants and the primary's log position of a group in one term.
 
-    ``position`` is where the primary's log was, at least, when it was
-    asked at ``position_at``; None if that isn't known. Times are on the
-    clock of whoever holds this value.
+    ``position`` is a lower bound of the primary's log position at
+    ``position_at``, when the primary was asked; None if it is unknown. Times
+    are on the clock of the process that holds this value.
     """
 
     term: int
@@ -33,7 +33,7 @@
 
 
 def shifted(evidence: Evidence, seconds: float) -> Evidence:
-    """Give the same evidence on a clock that shows ``seconds`` more."""
+    """Return the evidence on a clock that is ``seconds`` ahead."""
     return attrs.evolve(
         evidence,
         grants=tuple(
--- a/src/tidegrade/core/_failover.py
+++ b/src/tidegrade/core/_failover.py
@@ -1,19 +1,19 @@
-"""The supervisor: ends a term and begins the next, whatever fails.
+"""The supervisor: ends a term of a group and begins the next one.
 
-Every step is safe to repeat and to abandon: another supervisor goes on
-from the row. What makes it safe is the order of the steps, not timing
-between supervisors:
+Every step can be repeated or abandoned safely, since another supervisor can
+continue from the row. Safety depends on the order of the steps and not on
+timing between supervisors:
 
-1. *Claim*: a compare-and-set of the row names this attempt and its term.
-2. *Fence*: endpoints raise their promise; a majority must have done so.
-   From then on no proxy can gain permission for the former term.
-3. *List*, then *revoke*: registered proxies give up their permission;
-   those that don't answer are waited out.
+1. *Claim*: a compare-and-set of the row records this attempt and its term.
+2. *Fence*: a majority of the endpoints promise to refuse lower terms. From
+   then on no proxy can gain write permission for the former term.
+3. *List*, then *revoke*: registered proxies release their permission. The
+   supervisor waits until the permission of an unreachable proxy has expired.
 4. *Choose* the endpoint with the newest data and write it into the row.
-5. *Promote* it, and mark the term in the data. A platform may count on the
-   numbers of such orders to rise without checking them, so this step alone
-   has a lease: the order is sent soon after the row of step 4 or not at all,
-   and nobody takes the attempt over before.
+5. *Promote* that endpoint and write the term into its data. A platform may
+   require the terms of promotions to increase without checking them, so this
+   step has a lease: the promotion is ordered soon after the row of step 4 is
+   sent or not at all, and no other supervisor takes the attempt over earlier.
 6. *Publish* the new term by another compare-and-set.
 """
 
@@ -34,25 +34,27 @@
 from tidegrade.core import _types
 from tidegrade.core import _watching
 
-#: Time that a replica gets to catch up with one that may not lead.
-CATCH_UP_LIMIT = 1.5
-#: Time that each step may take before the attempt is abandoned.
-STEP_LIMIT = 3.0
-#: Time that one job on an endpoint may take.
-CONTROL_LIMIT = 1.0
-#: Time that a promotion may take.
-PROMOTE_LIMIT = 10.0
-#: Pause before a supervisor tries again after a failure, in seconds.
-MIN_PAUSE = 0.05
-MAX_PAUSE = 0.5
-#: Pause between requests to give up, and between looks at candidates.
-REPEAT_INTERVAL = 0.05
-#: Pause between orders to replicas to follow the primary.
-FOLLOW_INTERVAL = 2.0
+#: Longest wait, in seconds, for a replica to catch up with a fenced endpoint
+#: that has newer data but may not become primary.
+CATCH_UP_LIMIT_S = 1.5
+#: Time limit of each step, in seconds, after which the attempt is abandoned.
+STEP_LIMIT_S = 3.0
+#: Time limit of one control job on an endpoint, in seconds.
+CONTROL_LIMIT_S = 1.0
+#: Time limit of a promotion, in seconds.
+PROMOTE_LIMIT_S = 10.0
+#: Bounds of the random backoff after an abandoned attempt, in seconds.
+MIN_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 0.5
+#: Interval at which fence, revocation and status requests are repeated, in
+#: seconds.
+REPEAT_INTERVAL_S = 0.05
+#: Interval between orders to replicas to follow the primary, in seconds.
+FOLLOW_INTERVAL_S = 2.0
 
 
 class Step(enum.Enum):
-    """What a supervisor is doing."""
+    """The step that a supervisor is carrying out."""
 
     WATCH = 'watch'
     SETUP = 'setup'
@@ -68,31 +70,32 @@
 
 
 @attrs.define
-class _Work:
-    """What an attempt has reached."""
+class _AttemptProgress:
+    """Progress of one attempt to begin a new term."""
 
     reason: str = ''
     config_version: int = 0
     row: _row.GroupRow | None = None
     tag: str | None = None
-    to_come: frozenset[str] = frozenset()
+    next_members: frozenset[str] = frozenset()
     fenced: dict[str, _types.EndpointReport] = attrs.field(factory=dict)
     fenced_at: float = 0.0
-    #: When the row that records the choice was sent.
+    #: Time at which the row that records the chosen primary was sent.
     recorded_at: float = 0.0
-    holders: frozenset[str] = frozenset()
-    gave_up: set[str] = attrs.field(factory=set)
-    last_order: float = float('-inf')
-    publish_again: bool = False
-    #: Of the platform's table when the row was read.
+    permission_holders: frozenset[str] = frozenset()
+    released: set[str] = attrs.field(factory=set)
+    last_request_at: float = float('-inf')
+    retry_publish: bool = False
+    #: Generation of the platform's table when the row was read.
     generation: int = 0
 
 
 class Supervisor:
-    """Changes the primary of one group when that is needed.
+    """Ends the term of one group when its primary or members must change.
 
-    Every proxy has one for each of its groups; the turn they take only
-    saves work, it is not what makes the change safe.
+    Every proxy runs one supervisor for each of its groups. The order in
+    which the proxies take turns only avoids duplicate work; safety does not
+    depend on it.
     """
 
     def __init__(
@@ -107,14 +110,14 @@
         self._proxy = proxy
         self._rng = rng
         self._step = Step.WATCH
-        self._since = 0.0
-        self._not_before = 0.0
-        self._watch = _watching.Watch(group, proxy)
+        self._step_since = 0.0
+        self._retry_at = 0.0
+        self._watch = _watching.TermWatch(group, proxy)
         self._seen: sv.Observed | None = None
-        self._work = _Work()
+        self._progress = _AttemptProgress()
         self._next_control = 1
         self._controls: dict[int, str] = {}
-        self._last_follow = float('-inf')
+        self._last_follow_at = float('-inf')
         self._commands: list[sv.SupervisorCommand] = []
         self._handlers: dict[type, typing.Callable[..., None]] = {
             sv.Observed: self._observed,
@@ -123,19 +126,19 @@
             sv.RowLost: self._row_lost,
             sv.ControlEnded: self._control_ended,
             sv.HoldersListed: self._holders_listed,
-            sv.GaveUp: self._peer_gave_up,
-            sv.Woke: self._woke,
+            sv.GaveUp: self._permission_released,
+            sv.Woke: self._process_resumed,
         }
 
     @property
     def step(self) -> Step:
-        """Give what the supervisor is doing."""
+        """The step that the supervisor is carrying out."""
         return self._step
 
     def handle(
         self, event: sv.SupervisorEvent, now: float
     ) -> list[sv.SupervisorCommand]:
-        """Take one event at ``now`` and give the commands to carry out."""
+        """Process one event at ``now`` and return the commands to run."""
         self._handlers[type(event)](event, now)
         commands, self._commands = self._commands, []
         return commands
@@ -146,29 +149,30 @@
         self._seen = event
         self._watch.observe(event, now)
         if self._is_superseded(event.row):
-            self._abandon('a later term or attempt is known', now)
+            self._abandon('superseded by a later term or attempt', now)
         if self._step is not Step.WATCH:
-            self._go_on(now)
+            self._advance(now)
             return
-        reason = self._watch.reason_to_begin(event, now)
+        reason = self._watch.reason_to_end_term(event, now)
         if not reason:
-            self._follow(now)
-        elif now >= self._not_before:
+            self._order_follow(now)
+        elif now >= self._retry_at:
             self._start(reason, now)
 
     def _is_superseded(self, row: _row.GroupRow | None) -> bool:
-        """Tell whether a row shows that another supervisor is further.
+        """Return whether a row shows a later term or attempt.
 
-        An attempt that went on fenced the primary of the later term, which
-        left a group without one for 28 s (three proxies, one run).
+        A superseded attempt must stop: if it continues, it fences the
+        primary of the later term. That left a group of three proxies
+        without a primary for 28 s.
         """
-        own = self._work.row
+        own = self._progress.row
         if self._step in (Step.WATCH, Step.SETUP) or row is None:
             return False
         if own is None or row == own:
             return False
         if own.attempt is None:
-            # Being published: only a term after it supersedes it.
+            # The row is being published; only a later term supersedes it.
             return row.term > own.term
         if row.term >= own.attempt.next_term:
             return True
@@ -177,14 +181,14 @@
             attempt is not None and attempt.next_term > own.attempt.next_term
         )
 
-    def _woke(self, event: sv.Woke, now: float) -> None:
-        self._watch.woke(now)
+    def _process_resumed(self, event: sv.Woke, now: float) -> None:
+        self._watch.resumed(now)
 
-    def _follow(self, now: float) -> None:
-        """Make the replicas follow the primary; the first in turn does."""
+    def _order_follow(self, now: float) -> None:
+        """Order replicas to follow the primary if this proxy ranks first."""
         seen = self._seen
         assert seen is not None
-        if now - self._last_follow < FOLLOW_INTERVAL:
+        if now - self._last_follow_at < FOLLOW_INTERVAL_S:
             return
         if _turns.rank(self._group, self._proxy, seen.peers) != 0:
             return
@@ -192,21 +196,21 @@
             return
         if not seen.to_follow:
             return
-        self._last_follow = now
+        self._last_follow_at = now
         primary = seen.cfg.endpoints[seen.row.primary]
         job = _jobs.FollowJob(primary.host, primary.port)
         for name in seen.cfg.endpoints:
             if name in seen.to_follow:
-                self._control(name, job, now + CONTROL_LIMIT)
+                self._run_control(name, job, now + CONTROL_LIMIT_S)
 
     # Steps ----------------------------------------------------------------
 
     def _start(self, reason: str, now: float) -> None:
         assert self._seen is not None
-        to_come = _membership.to_come(self._seen)
-        self._work = _Work(
+        next_members = _membership.next_members(self._seen)
+        self._progress = _AttemptProgress(
             reason=reason,
-            to_come=to_come,
+            next_members=next_members,
             config_version=self._seen.config_version,
         )
         self._controls.clear()
@@ -215,41 +219,43 @@
 
     def _enter(self, step: Step, now: float) -> None:
         self._step = step
-        self._since = now
+        self._step_since = now
 
     def _abandon(self, why: str, now: float) -> None:
-        """Go back to watching; the row lets anybody continue.
+        """Return to watching; any supervisor can continue from the row.
 
-        Orders that have not ended are taken back: they could meet the
-        primary of a later term.
+        Control jobs that have not ended are cancelled, since they could
+        reach the primary of a later term.
         """
         self._commands.append(sv.Note('attempt_abandoned', why))
         if self._controls:
             self._controls.clear()
             self._commands.append(sv.RecallControls())
         self._step = Step.WATCH
-        self._not_before = now + self._rng.uniform(MIN_PAUSE, MAX_PAUSE)
+        self._retry_at = now + self._rng.uniform(MIN_BACKOFF_S, MAX_BACKOFF_S)
 
-    def _go_on(self, now: float) -> None:
-        """Do what time alone brings about."""
-        limit = STEP_LIMIT
+    def _advance(self, now: float) -> None:
+        """Check the time limit and repeat requests that are due."""
+        limit = STEP_LIMIT_S
         if self._step is Step.PROMOTE:
-            limit = PROMOTE_LIMIT
-        if now - self._since > limit:
-            self._abandon(f'the step {self._step.value} took too long', now)
+            limit = PROMOTE_LIMIT_S
+        if now - self._step_since > limit:
+            self._abandon(
+                f'step {self._step.value} exceeded its time limit', now
+            )
         elif self._step is Step.FENCE:
             self._fence_missing(now)
         elif self._step is Step.REVOKE:
             self._revoke(now)
         elif self._step is Step.CHOOSE:
-            self._look_again(now)
-        elif self._step is Step.PUBLISH and self._work.publish_again:
+            self._poll_candidates(now)
+        elif self._step is Step.PUBLISH and self._progress.retry_publish:
             self._write_published()
 
     def _row_read(self, event: sv.RowRead, now: float) -> None:
         if self._step is not Step.READ:
             return
-        self._work.generation = event.generation
+        self._progress.generation = event.generation
         if event.row is None:
             self._begin_setup(now)
             return
@@ -265,10 +271,10 @@
         seen = self._seen
         assert seen is not None
         self._enter(Step.SETUP, now)
-        self._control(
+        self._run_control(
             seen.cfg.initial_primary,
             _jobs.SetupJob(1),
-            now + CONTROL_LIMIT,
+            now + CONTROL_LIMIT_S,
         )
 
     def _claim(
@@ -280,20 +286,20 @@
             next_term=_row.next_term(row, event.generation),
         )
         claimed = attrs.evolve(row, attempt=attempt)
-        self._work.row = claimed
+        self._progress.row = claimed
         self._enter(Step.CLAIM, now)
         self._commands.append(
             sv.Note(
                 'term_ending',
-                f'term {row.term}: {self._work.reason}',
+                f'term {row.term}: {self._progress.reason}',
             )
         )
         self._commands.append(sv.WriteRow(claimed, event.tag))
 
     def _row_written(self, event: sv.RowWritten, now: float) -> None:
-        if event.row != self._work.row:
+        if event.row != self._progress.row:
             return
-        self._work.tag = event.tag
+        self._progress.tag = event.tag
         self._commands.append(sv.Announce(event.row))
         if self._step is Step.SETUP:
             self._step = Step.WATCH
@@ -306,50 +312,55 @@
 
     def _row_lost(self, event: sv.RowLost, now: float) -> None:
         if self._step is Step.PUBLISH and not event.conflict:
-            # The endpoint leads already: nobody gains by starting again.
-            self._work.publish_again = True
+            # The endpoint is already promoted, so the write is repeated
+            # instead of starting another attempt.
+            self._progress.retry_publish = True
             return
         if self._step is not Step.WATCH:
-            self._abandon(f'the platform did not take {self._step.value}', now)
+            self._abandon(
+                f'the row request of step {self._step.value} failed', now
+            )
 
     # Fencing --------------------------------------------------------------
 
     def _fence(self, now: float) -> None:
-        row = self._work.row
+        row = self._progress.row
         assert row is not None and row.attempt is not None
         self._enter(Step.FENCE, now)
         self._fence_missing(now)
 
     def _fence_missing(self, now: float) -> None:
-        """Order the fences that are neither raised nor under way."""
-        work = self._work
-        assert work.row is not None and work.row.attempt is not None
-        if now - work.last_order < REPEAT_INTERVAL:
+        """Fence endpoints that are not fenced and have no job in flight."""
+        progress = self._progress
+        assert progress.row is not None and progress.row.attempt is not None
+        if now - progress.last_request_at < REPEAT_INTERVAL_S:
             return
-        work.last_order = now
-        under_way = set(self._controls.values())
-        job = _jobs.FenceJob(work.row.attempt.next_term)
-        for name in sorted(work.row.members | work.to_come):
-            if name not in work.fenced and name not in under_way:
-                self._control(name, job, now + CONTROL_LIMIT)
-
-    def _fenced(
+        progress.last_request_at = now
+        in_flight = set(self._controls.values())
+        job = _jobs.FenceJob(progress.row.attempt.next_term)
+        for name in sorted(progress.row.members | progress.next_members):
+            if name not in progress.fenced and name not in in_flight:
+                self._run_control(name, job, now + CONTROL_LIMIT_S)
+
+    def _fence_ended(
         self, name: str, report: _types.EndpointReport, now: float
     ) -> None:
-        row = self._work.row
+        row = self._progress.row
         assert row is not None and row.attempt is not None
         promised = report.promised or 0
         if promised > row.attempt.next_term:
-            self._abandon('an endpoint has promised a later term', now)
+            self._abandon(
+                'an endpoint has promised a later term than this attempt', now
+            )
             return
         if promised < row.attempt.next_term:
             return
-        self._work.fenced[name] = report
-        enough = _choice.enough_fenced(
-            row, set(self._work.fenced), self._work.to_come
+        self._progress.fenced[name] = report
+        majority_fenced = _choice.enough_fenced(
+            row, set(self._progress.fenced), self._progress.next_members
         )
-        if self._step is Step.FENCE and enough:
-            self._work.fenced_at = now
+        if self._step is Step.FENCE and majority_fenced:
+            self._progress.fenced_at = now
             self._enter(Step.LIST, now)
             self._commands.append(sv.ListHolders())
 
@@ -358,100 +369,109 @@
     def _holders_listed(self, event: sv.HoldersListed, now: float) -> None:
         if self._step is not Step.LIST:
             return
-        self._work.holders = event.proxies
+        self._progress.permission_holders = event.proxies
         self._enter(Step.REVOKE, now)
         self._revoke(now)
 
-    def _peer_gave_up(self, event: sv.GaveUp, now: float) -> None:
-        row = self._work.row
+    def _permission_released(self, event: sv.GaveUp, now: float) -> None:
+        row = self._progress.row
         if self._step is not Step.REVOKE or row is None:
             return
         assert row.attempt is not None
         if event.below >= row.attempt.next_term:
-            self._work.gave_up.add(event.proxy)
+            self._progress.released.add(event.proxy)
         self._revoke(now)
 
     def _revoke(self, now: float) -> None:
-        work = self._work
-        assert work.row is not None and work.row.attempt is not None
-        missing = work.holders - work.gave_up
-        waited = now - work.fenced_at >= _permission.PERMISSION_WAIT
-        listed = _row.began_in(work.row, work.generation)
-        if waited or (listed and not missing):
-            self._begin_choice(now)
+        progress = self._progress
+        assert progress.row is not None and progress.row.attempt is not None
+        missing = progress.permission_holders - progress.released
+        expired = now - progress.fenced_at >= _permission.PERMISSION_WAIT
+        listed = _row.began_in(progress.row, progress.generation)
+        if expired or (listed and not missing):
+            self._begin_choosing(now)
             return
-        if now - work.last_order >= REPEAT_INTERVAL:
-            work.last_order = now
-            below = work.row.attempt.next_term
+        if now - progress.last_request_at >= REPEAT_INTERVAL_S:
+            progress.last_request_at = now
+            below = progress.row.attempt.next_term
             self._commands.append(sv.AskGiveUp(missing, below))
 
     # Choosing -------------------------------------------------------------
 
-    def _begin_choice(self, now: float) -> None:
-        """Look at the fenced endpoints again: no write can be added now."""
+    def _begin_choosing(self, now: float) -> None:
+        """Request the status of the fenced endpoints again.
+
+        No write of the former term can be acknowledged any more, so these
+        reports cover all acknowledged writes.
+        """
         self._enter(Step.CHOOSE, now)
         self._controls.clear()
-        self._work.last_order = float('-inf')
-        fenced = set(self._work.fenced)
-        self._work.fenced.clear()
+        self._progress.last_request_at = float('-inf')
+        fenced = set(self._progress.fenced)
+        self._progress.fenced.clear()
         self._ask_status(fenced, now)
 
-    def _look_again(self, now: float) -> None:
-        if now - self._work.last_order < REPEAT_INTERVAL:
+    def _poll_candidates(self, now: float) -> None:
+        if now - self._progress.last_request_at < REPEAT_INTERVAL_S:
             return
-        row = self._work.row
+        row = self._progress.row
         assert row is not None
         if not self._choose(now):
-            names = set(row.members | self._work.to_come)
+            names = set(row.members | self._progress.next_members)
             self._ask_status(names, now)
 
     def _ask_status(self, names: set[str], now: float) -> None:
-        self._work.last_order = now
+        self._progress.last_request_at = now
         for name in sorted(names):
-            self._control(name, _jobs.StatusJob(), now + CONTROL_LIMIT)
+            self._run_control(name, _jobs.StatusJob(), now + CONTROL_LIMIT_S)
 
     def _choose(self, now: float) -> bool:
-        """Record the endpoint to promote, once that is safe."""
-        row, seen = self._work.row, self._seen
+        """Record the endpoint to promote; return False if none is eligible."""
+        row, seen = self._progress.row, self._seen
         assert row is not None and seen is not None
         assert row.attempt is not None
-        known = _choice.Candidates(
+        candidates = _choice.Candidates(
             fenced={
                 name: report
-                for name, report in self._work.fenced.items()
+                for name, report in self._progress.fenced.items()
                 if report.promised == row.attempt.next_term
             },
-            to_come=self._work.to_come,
+            to_come=self._progress.next_members,
             leaving=seen.leaving,
             may_wait=not self._traits.fence_stops_replication
-            and now - self._since < CATCH_UP_LIMIT,
+            and now - self._step_since < CATCH_UP_LIMIT_S,
         )
-        chosen = _choice.choose(row, known)
+        chosen = _choice.choose(row, candidates)
         if chosen is None:
             return False
         self._record(chosen, now)
         return True
 
     def _record(self, chosen: str, now: float) -> None:
-        row = self._work.row
+        row = self._progress.row
         assert row is not None and row.attempt is not None
         attempt = attrs.evolve(row.attempt, chosen=chosen)
-        self._work.row = attrs.evolve(row, attempt=attempt)
-        self._work.recorded_at = now
+        self._progress.row = attrs.evolve(row, attempt=attempt)
+        self._progress.recorded_at = now
         self._enter(Step.RECORD, now)
-        self._commands.append(sv.WriteRow(self._work.row, self._work.tag))
+        self._commands.append(
+            sv.WriteRow(self._progress.row, self._progress.tag)
+        )
 
     # Promoting and publishing ---------------------------------------------
 
     def _promote(self, now: float) -> None:
-        row = self._work.row
+        row = self._progress.row
         assert row is not None and row.attempt is not None
-        until = self._work.recorded_at + _watching.PROMOTION_LEASE
+        until = self._progress.recorded_at + _watching.PROMOTION_LEASE_S
         if now >= until:
-            self._abandon('the choice was recorded too late', now)
+            self._abandon(
+                'the promotion lease ended before the choice was recorded', now
+            )
             return
         self._enter(Step.PROMOTE, now)
-        # What a job of an earlier step says late is no promotion.
+        # A late result of an earlier step's job must not be taken for the
+        # result of the promotion.
         self._controls.clear()
         job = _jobs.PromoteJob(
             term=row.attempt.next_term,
@@ -459,24 +479,24 @@
             reelected=row.attempt.chosen == row.primary,
             until=until,
         )
-        self._control(row.attempt.chosen, job, now + PROMOTE_LIMIT)
+        self._run_control(row.attempt.chosen, job, now + PROMOTE_LIMIT_S)
 
     def _publish(self, done: _jobs.JobDone, now: float) -> None:
-        row = self._work.row
+        row = self._progress.row
         assert row is not None
         attempt = row.attempt
         assert attempt is not None
         marker = done.report.marker
         _types.invariant(
             marker == attempt.next_term or row.marker < marker,
-            'a promoted endpoint does not bear its term',
+            'the data of a promoted endpoint does not carry its term',
         )
         fork = _row.Fork(row.term, done.fork_lsn)
-        self._work.row = _row.GroupRow(
+        self._progress.row = _row.GroupRow(
             term=attempt.next_term,
             primary=attempt.chosen,
-            members=self._work.to_come,
-            config_version=self._work.config_version,
+            members=self._progress.next_members,
+            config_version=self._progress.config_version,
             forks=(*row.forks, fork),
             log_term=0 if marker == attempt.next_term else marker,
         )
@@ -484,13 +504,15 @@
         self._write_published()
 
     def _write_published(self) -> None:
-        self._work.publish_again = False
-        assert self._work.row is not None
-        self._commands.append(sv.WriteRow(self._work.row, self._work.tag))
+        self._progress.retry_publish = False
+        assert self._progress.row is not None
+        self._commands.append(
+            sv.WriteRow(self._progress.row, self._progress.tag)
+        )
 
     def _published(self, row: _row.GroupRow, now: float) -> None:
         self._step = Step.WATCH
-        self._last_follow = float('-inf')
+        self._last_follow_at = float('-inf')
         self._commands.append(
             sv.Note(
                 'term_begun',
@@ -500,7 +522,9 @@
 
     # Jobs on endpoints ----------------------------------------------------
 
-    def _control(self, endpoint: str, job: _jobs.Job, deadline: float) -> None:
+    def _run_control(
+        self, endpoint: str, job: _jobs.Job, deadline: float
+    ) -> None:
         control = self._next_control
         self._next_control += 1
         self._controls[control] = endpoint
@@ -519,9 +543,9 @@
         if self._step is Step.SETUP:
             self._write_first_row(outcome.report.marker)
         elif self._step in (Step.FENCE, Step.LIST, Step.REVOKE):
-            self._fenced(event.endpoint, outcome.report, now)
+            self._fence_ended(event.endpoint, outcome.report, now)
         elif self._step is Step.CHOOSE:
-            self._work.fenced[event.endpoint] = outcome.report
+            self._progress.fenced[event.endpoint] = outcome.report
             self._choose(now)
         elif self._step is Step.PROMOTE:
             self._publish(outcome, now)
@@ -530,12 +554,12 @@
         seen = self._seen
         assert seen is not None
         log_term = max(1, marker)
-        term = max(log_term, _row.first_term(self._work.generation))
-        self._work.row = _row.GroupRow(
+        term = max(log_term, _row.first_term(self._progress.generation))
+        self._progress.row = _row.GroupRow(
             term=term,
             log_term=0 if term == log_term else log_term,
             primary=seen.cfg.initial_primary,
-            members=self._work.to_come,
-            config_version=self._work.config_version,
+            members=self._progress.next_members,
+            config_version=self._progress.config_version,
         )
-        self._commands.append(sv.WriteRow(self._work.row, None))
+        self._commands.append(sv.WriteRow(self._progress.row, None))
--- a/src/tidegrade/core/_isolation.py
+++ b/src/tidegrade/core/_isolation.py
@@ -1,69 +1,76 @@
-"""When a failure domain counts as cut off, and its callers should go.
+"""Detects that a failure domain is isolated and closes its sessions.
 
-The load pattern: a domain is cut off from the others, from the platform
-and from most endpoints, and its callers still reach its proxies. Nearly
-all that they ask is refused until they connect to another domain, which
-the balancer has them do once no proxy of this one is ready.
+In such a partition a domain loses the other domains, the platform and most
+endpoints, while callers still reach its proxies. Nearly all their requests
+are refused until they connect to another domain. The load balancer sends
+them there once no proxy of this domain reports ready.
 """
 
 import attrs
 
-#: Shortest silence of every proxy outside after which the domain counts as
-#: cut off, in seconds. Each sends a heartbeat every 0.5 s, so this is longer
-#: than the pause between two of one proxy, and its loss alone costs nothing:
-#: the balancer goes by two looks, a second apart.
-SILENCE = 0.65
-#: Where heartbeats come through relays the pauses are longer: a silence
-#: counts from this many times the longest pause of late.
-PAUSES = 1.5
-#: Longest pause that is taken for a usual one, in seconds: a relay passes
-#: heartbeats on each half second, and two may follow one another.
-LONGEST_PAUSE = 1.1
-#: Time in which the memory of a pause loses half of its length, in seconds.
-PAUSE_HALF_LIFE = 10.0
-#: Silence after which a permission that is still held shows that the
-#: others have died and this domain must serve, in seconds: longer than a
-#: permission lasts without a majority.
-SURE = 1.1
-#: Shortest time in which the balancer can notice, in seconds; callers who
-#: are sent away earlier come back to the same domain.
-NOTICED_AFTER = 1.0
-#: Longest time in which it notices, in seconds: two looks and their delay.
-SURELY_NOTICED_AFTER = 2.2
+#: Shortest time without a heartbeat from any other domain, in seconds, after
+#: which the domain counts as isolated. A proxy sends a heartbeat every 0.5 s,
+#: so this is longer than the interval between two heartbeats of one proxy. One
+#: lost heartbeat has no effect on the load balancer, which acts on two
+#: readiness checks that are a second apart.
+MIN_ISOLATION_SILENCE_S = 0.65
+#: Heartbeats that pass through relays arrive at longer intervals, so the time
+#: limit is at least this multiple of the longest recent interval.
+HEARTBEAT_GAP_FACTOR = 1.5
+#: Longest interval between heartbeats that counts as usual, in seconds. A
+#: relay forwards heartbeats every 0.5 s, and a heartbeat may pass through two
+#: relays.
+MAX_HEARTBEAT_GAP_S = 1.1
+#: Half-life, in seconds, of the recorded longest interval.
+HEARTBEAT_GAP_HALF_LIFE_S = 10.0
+#: Time without a heartbeat, in seconds, after which a permission that is still
+#: held shows that the other proxies have failed and this domain must serve. It
+#: is longer than a permission lasts without a majority.
+PEERS_FAILED_SILENCE_S = 1.1
+#: Shortest time, in seconds, in which the load balancer can detect that the
+#: domain is not ready. A caller whose session is closed earlier reconnects to
+#: the same domain.
+MIN_BALANCER_DETECTION_S = 1.0
+#: Longest time, in seconds, in which the load balancer detects it: two
+#: readiness checks and their delay.
+MAX_BALANCER_DETECTION_S = 2.2
 
 
 @attrs.define
 class Isolation:
-    """Follows whether this domain is cut off; times in seconds."""
+    """Tracks whether this failure domain is isolated; times in seconds."""
 
     since: float | None = None
-    #: Time since another domain was heard, at the last look.
+    #: Time since the newest heartbeat of another domain, as of the latest
+    #: observation.
     silence: float = 0.0
     _heard_at: float = float('-inf')
-    _pause: float = 0.0
-    _looked_at: float = float('-inf')
+    _longest_gap: float = 0.0
+    _observed_at: float = float('-inf')
 
     @property
     def cut_off(self) -> bool:
-        """Tell whether the domain counts as cut off."""
+        """Whether the domain counts as isolated."""
         return self.since is not None
 
     @property
     def usual_silence(self) -> float:
-        """Give the silence that is no sign of a cut."""
-        return max(SILENCE, PAUSES * self._pause)
+        """The time without a heartbeat up to which the domain is connected."""
+        return max(
+            MIN_ISOLATION_SILENCE_S, HEARTBEAT_GAP_FACTOR * self._longest_gap
+        )
 
     def observe(
         self, heard_at: float | None, permitted: bool, now: float
     ) -> bool:
-        """Judge how things stand; tell whether the judgement has changed.
+        """Update the state and return whether ``cut_off`` has changed.
 
-        ``heard_at`` is when there was last news of another domain, None if
-        there never was any. ``permitted`` says that the permission of some
-        group is held.
+        ``heard_at`` is when the newest heartbeat of another domain arrived,
+        None if none ever did. ``permitted`` is true if this proxy holds the
+        permission of at least one group.
         """
         before = self.cut_off
-        self._note_pause(heard_at, now)
+        self._track_gap(heard_at, now)
         if not self._is_cut_off(heard_at, permitted, now):
             self.since = None
         elif self.since is None:
@@ -71,18 +78,22 @@
         return self.cut_off != before
 
     def refused_should_go(self, now: float) -> bool:
-        """Tell whether to close a session whose request was refused.
+        """Return whether to close a session whose request was refused.
 
-        Its caller expects nothing at that moment, so no request meets the
-        closing on its way, as it would in a session that rests.
+        The caller has just received its answer, so no request of it is in
+        flight. On an idle session a new request could arrive while the
+        session is being closed.
         """
-        return self.since is not None and now - self.since >= NOTICED_AFTER
+        return (
+            self.since is not None
+            and now - self.since >= MIN_BALANCER_DETECTION_S
+        )
 
     def all_should_go(self, now: float) -> bool:
-        """Tell whether to close the sessions at rest as well."""
+        """Return whether to close idle sessions as well."""
         if self.since is None:
             return False
-        return now - self.since >= SURELY_NOTICED_AFTER
+        return now - self.since >= MAX_BALANCER_DETECTION_S
 
     def _is_cut_off(
         self, heard_at: float | None, permitted: bool, now: float
@@ -92,15 +103,15 @@
         self.silence = now - heard_at
         if self.silence < self.usual_silence:
             return False
-        return not permitted or self.silence < SURE
+        return not permitted or self.silence < PEERS_FAILED_SILENCE_S
 
-    def _note_pause(self, heard_at: float | None, now: float) -> None:
-        """Learn how long it usually takes until somebody is heard again."""
-        passed = min(now - self._looked_at, PAUSE_HALF_LIFE)
-        self._pause *= 0.5 ** (passed / PAUSE_HALF_LIFE)
+    def _track_gap(self, heard_at: float | None, now: float) -> None:
+        """Update the longest recent interval between heartbeats."""
+        elapsed = min(now - self._observed_at, HEARTBEAT_GAP_HALF_LIFE_S)
+        self._longest_gap *= 0.5 ** (elapsed / HEARTBEAT_GAP_HALF_LIFE_S)
         if heard_at is not None and heard_at > self._heard_at:
-            pause = now - self._heard_at
-            if pause <= LONGEST_PAUSE:
-                self._pause = max(self._pause, pause)
+            gap = now - self._heard_at
+            if gap <= MAX_HEARTBEAT_GAP_S:
+                self._longest_gap = max(self._longest_gap, gap)
             self._heard_at = heard_at
-        self._looked_at = now
+        self._observed_at = now
--- a/src/tidegrade/core/_membership.py
+++ b/src/tidegrade/core/_membership.py
@@ -1,14 +1,14 @@
-"""Which endpoints vote in the next term of a group."""
+"""Selects the endpoints that vote in the next term of a group."""
 
 from tidegrade.core import _supervision as sv
 
 
-def to_come(seen: sv.Observed) -> frozenset[str]:
-    """Give the members of the next term, if it began now.
+def next_members(seen: sv.Observed) -> frozenset[str]:
+    """Return the members of the next term if it began now.
 
-    They are the endpoints that stay. One that leaves or is gone keeps its
-    vote while there is nobody in its place: fewer members would bear no
-    loss at all.
+    They are the configured endpoints that are neither leaving nor gone. A
+    leaving or gone member keeps its vote until another endpoint replaces it,
+    because a group with fewer members could not tolerate a failure.
     """
     endpoints = frozenset(seen.cfg.endpoints)
     staying = endpoints - seen.leaving - seen.gone
--- a/src/tidegrade/core/_outlook.py
+++ b/src/tidegrade/core/_outlook.py
@@ -1,11 +1,11 @@
-"""When requests that need the permission can be served again.
-
-The load pattern: a failure domain is cut off, or a primary fails, and for
-seconds no request for it can be served while as many arrive as before.
-Held until their limit, each keeps its caller from going elsewhere, and
-most are refused all the same. So a request is refused on arrival if it
-can't be served before its limit, as far as can be told, and told when to
-return.
+"""Estimates when requests that need write permission can be served again.
+
+When a failure domain is isolated or a primary fails, requests cannot be
+served for seconds while their arrival rate stays the same. If they were
+queued until their deadline, most would still be refused, and their callers
+could not try another domain in the meantime. A request is therefore refused
+on arrival if the estimated recovery is after its deadline, and the answer
+says when to retry.
 """
 
 import random
@@ -14,87 +14,93 @@
 
 from tidegrade.core import _permission
 
-#: How long a change of primary takes until one has been seen, in seconds:
-#: the permissions of proxies that don't answer are waited out, then an
-#: endpoint is promoted, which took 0.66 s where it was slowest.
-USUAL_CHANGE = _permission.PERMISSION_WAIT + 0.66
-#: Weight of the newest change in the usual length of one.
-CHANGE_WEIGHT = 0.3
-#: Bounds of the time given to a refused caller, in seconds.
-MIN_RETURN = 0.1
-MAX_RETURN = 5.0
-#: Callers of routes up to this priority return in the first half of the
-#: time over which returns are spread.
+#: Assumed length of a change of primary, in seconds, until one has been
+#: observed: the permissions of unreachable proxies expire, then an endpoint is
+#: promoted, which takes up to 0.66 s.
+INITIAL_CHANGE_S = _permission.PERMISSION_WAIT + 0.66
+#: Weight of the newest change in the smoothed mean length of changes.
+CHANGE_SMOOTHING = 0.3
+#: Bounds of the retry time sent to a refused caller, in seconds.
+MIN_RETRY_AFTER_S = 0.1
+MAX_RETRY_AFTER_S = 5.0
+#: Callers of routes with this priority or a lower number retry in the first
+#: half of the interval over which retries are spread.
 URGENT_PRIORITY = 1
 
 
 @attrs.define
 class Outlook:
-    """Judges when the permission will be held again; times in seconds.
+    """Estimates when the permission will be held again; times in seconds.
 
     An outage of unknown cause is expected to last as long again as it has
-    lasted. One that a change of primary ends is expected to last as long
-    as such changes usually take. Cut off from all other failure domains,
-    this proxy can only wait for a path, and callers have others.
+    lasted so far. An outage during a change of primary is expected to end
+    when the change has taken its mean length. While this proxy is isolated
+    from all other failure domains, no recovery time can be estimated;
+    callers can use other domains.
     """
 
     began_at: float = float('inf')
-    hopeful_at: float = float('-inf')
-    changing_since: float | None = None
-    usual_change: float = USUAL_CHANGE
+    outage_reset_at: float = float('-inf')
+    change_began_at: float | None = None
+    mean_change_s: float = INITIAL_CHANGE_S
     cut_off: bool = False
 
     def observe(self, permitted: bool, now: float) -> None:
-        """Note whether the permission is held."""
+        """Record whether the permission is held at ``now``."""
         self.began_at = min(self.began_at, now)
         if permitted:
-            self.hopeful_at = now
+            self.outage_reset_at = now
 
     def improved(self, now: float) -> None:
-        """Note a change for the better: its effect may be a moment away.
+        """Measure the outage from ``now`` on.
 
-        A term has begun, this process runs again, or the domain is in
-        touch again; what was before tells nothing any more.
+        Called when a term has begun, this process has resumed after a pause,
+        or the domain is connected again. Recovery may follow at once, and
+        the length of the outage before that predicts nothing.
         """
-        self.hopeful_at = now
+        self.outage_reset_at = now
 
     def change_seen(self, now: float) -> None:
-        """Note that somebody began to change the primary."""
-        if self.changing_since is None:
-            self.changing_since = now
+        """Record that a change of primary has begun."""
+        if self.change_began_at is None:
+            self.change_began_at = now
 
     def change_over(self, now: float) -> None:
-        """Note that the next term has begun, or the change was left."""
-        if self.changing_since is None:
+        """Record that the next term has begun or the change was abandoned."""
+        if self.change_began_at is None:
             return
-        took = now - self.changing_since
-        self.usual_change += CHANGE_WEIGHT * (took - self.usual_change)
-        self.changing_since = None
+        took = now - self.change_began_at
+        self.mean_change_s += CHANGE_SMOOTHING * (took - self.mean_change_s)
+        self.change_began_at = None
 
     def expected_at(self, now: float) -> float:
-        """Give when requests can be served, as far as can be told."""
+        """Return the time at which requests can probably be served again.
+
+        It is infinity while this proxy is isolated.
+        """
         if self.cut_off:
             return float('inf')
-        if self.changing_since is not None:
-            return max(now, self.changing_since + self.usual_change)
-        return now + self._lacking(now)
+        if self.change_began_at is not None:
+            return max(now, self.change_began_at + self.mean_change_s)
+        return now + self._outage_length(now)
 
     def return_after(
         self, priority: int, now: float, rng: random.Random
     ) -> float:
-        """Give the time after which a refused caller may return.
+        """Return the time after which a refused caller may retry, in seconds.
 
-        Returns are spread over as long again as the expected wait, urgent
-        ones over its first half, so that they don't all come at once.
+        Retries are spread from the expected wait up to twice that wait, so
+        that they don't all arrive at once; urgent callers retry in the first
+        half of that interval.
         """
-        wait = min(self.expected_at(now) - now, MAX_RETURN)
+        wait = min(self.expected_at(now) - now, MAX_RETRY_AFTER_S)
         if self.cut_off:
-            # Elsewhere the caller is served at once.
+            # Another domain can serve the caller at once.
             wait = 0.0
-        wait = max(wait, MIN_RETURN)
-        late = 0.0 if priority <= URGENT_PRIORITY else 0.5
-        return min(wait * (1 + late + rng.random() / 2), MAX_RETURN)
+        wait = max(wait, MIN_RETRY_AFTER_S)
+        offset = 0.0 if priority <= URGENT_PRIORITY else 0.5
+        return min(wait * (1 + offset + rng.random() / 2), MAX_RETRY_AFTER_S)
 
-    def _lacking(self, now: float) -> float:
-        """Give for how long there has been no prospect of the permission."""
-        return now - max(self.hopeful_at, self.began_at)
+    def _outage_length(self, now: float) -> float:
+        """Return the length of the current outage, in seconds."""
+        return now - max(self.outage_reset_at, self.began_at)
--- a/src/tidegrade/core/_permission.py
+++ b/src/tidegrade/core/_permission.py
@@ -4,36 +4,40 @@
 
 from tidegrade.core import _types
 
-#: How long a permission lasts from the sending of its poll, in seconds.
-#: All proxies must agree on it, so it is no setting: a proxy cut off with
-#: an older configuration would else keep a longer one.
+#: Length of a permission, in seconds, from the time its poll was sent. It is
+#: a constant and not a setting because all proxies must use the same value:
+#: an isolated proxy with an old configuration could keep a longer permission.
 PERMISSION_LENGTH = 1.0
 
-#: Bound on how much faster or slower the clock of one proxy may run.
-CLOCK_DRIFT = 0.05
+#: Largest relative error of the rate of a proxy's clock.
+MAX_CLOCK_DRIFT = 0.05
 
-#: How much longer the same time is by the fastest clock than by the slowest.
-MOST_DRIFT = (1 + CLOCK_DRIFT) / (1 - CLOCK_DRIFT)
+#: Ratio of the same interval on the fastest clock to that on the slowest.
+MAX_DRIFT_RATIO = (1 + MAX_CLOCK_DRIFT) / (1 - MAX_CLOCK_DRIFT)
 
-#: How long a supervisor waits for proxies that it can't ask, in seconds.
-PERMISSION_WAIT = PERMISSION_LENGTH * MOST_DRIFT
+#: Time, in seconds, after which a supervisor may assume that the permission
+#: of an unreachable proxy has expired.
+PERMISSION_WAIT = PERMISSION_LENGTH * MAX_DRIFT_RATIO
 
 
 @attrs.frozen
 class PermissionRules:
-    """Who takes part in giving a permission."""
+    """The members that vote on a permission."""
 
     members: frozenset[str] = frozenset()
 
     @property
     def majority(self) -> int:
-        """Give the number of members that a decision needs."""
+        """The number of members in a majority."""
         return len(self.members) // 2 + 1
 
 
 @attrs.define
 class Grant:
-    """The newest poll a member answered without a later promise."""
+    """The newest poll answer of a member.
+
+    ``promised`` is the term that the member had promised by then.
+    """
 
     sent_at: float
     promised: int
@@ -42,37 +46,41 @@
 class Permission:
     """Write permission for a term, granted by a majority of endpoints.
 
-    A member grants the term with each poll answer whose promise is not
-    above it. The permission ends ``PERMISSION_LENGTH`` after the sending
-    of the poll that completes a majority, or at once when it is given up.
-    A supervisor that ends a term first raises the promise at a majority:
-    any majority polled later then holds a refusal, so no proxy gains the
-    permission again and those that hold it lose it within that time.
+    A member grants the term with each poll answer whose promise does not
+    exceed it. Of the newest polls that form a majority of grants, the one
+    sent first determines the expiry: the permission expires
+    ``PERMISSION_LENGTH`` after that poll was sent, or at once when it is
+    given up. A supervisor that ends a term first raises the promise at a
+    majority of members. Any majority polled later includes a member that
+    refuses, so no proxy gains the permission again, and each proxy that
+    holds it loses it within that time.
     """
 
     def __init__(self) -> None:
         self._rules = PermissionRules()
         self._term = 0
-        self._given_up_below = 0
-        self._given_up_at = float('inf')
+        self._released_below = 0
+        self._released_at = float('inf')
         self._grants: dict[str, Grant] = {}
 
     @property
     def term(self) -> int:
-        """Give the term that the permission is for."""
+        """The term to which the permission applies."""
         return self._term
 
     def start_term(self, term: int, rules: PermissionRules) -> None:
-        """Turn to a new term; grants of the former one no longer count."""
-        _types.invariant(term > self._term, 'a term went back')
+        """Start a new term and discard the grants of the former one."""
+        _types.invariant(
+            term > self._term, 'the term of a permission must increase'
+        )
         self._term = term
         self._rules = rules
         self._grants.clear()
-        if term >= self._given_up_below:
-            self._given_up_at = float('inf')
+        if term >= self._released_below:
+            self._released_at = float('inf')
 
     def answered(self, member: str, promised: int, sent_at: float) -> None:
-        """Take in a poll answer of ``member``."""
+        """Record a poll answer of ``member``; older answers are ignored."""
         if member not in self._rules.members:
             return
         known = self._grants.get(member)
@@ -81,14 +89,14 @@
         self._grants[member] = Grant(sent_at, promised)
 
     def give_up(self, below: int, now: float) -> None:
-        """Never again hold a permission for a term below ``below``."""
+        """Release the permission for all terms below ``below`` for good."""
         if self._term < below:
-            self._given_up_at = min(self._given_up_at, now)
-        self._given_up_below = max(self._given_up_below, below)
+            self._released_at = min(self._released_at, now)
+        self._released_below = max(self._released_below, below)
 
     def valid_until(self) -> float:
-        """Give the time at which the permission lapses."""
-        if self._term < self._given_up_below:
+        """Return the time at which the permission expires."""
+        if self._term < self._released_below:
             return float('-inf')
         return self._granted_until()
 
@@ -106,25 +114,29 @@
         return sent[self._rules.majority - 1] + PERMISSION_LENGTH
 
     def covered_until(self) -> float:
-        """Give a time until which nobody else could lead.
+        """Return a time until which no other primary can exist.
 
-        What the primary showed before then was the group's newest state.
-        Once the permission is given up another may lead, however long the
-        grants would have lasted.
+        Until then, reads on the primary return the group's newest state.
+        Once the permission is given up, another endpoint may become primary
+        even if the grants have not yet expired.
         """
-        return min(self._granted_until(), self._given_up_at)
+        return min(self._granted_until(), self._released_at)
 
     def grants(self) -> dict[str, Grant]:
-        """Give the newest answer of each member, to tell peers of it."""
+        """Return the newest answer of each member, for sharing with peers."""
         return dict(self._grants)
 
     def granted_at(self, member: str) -> float:
-        """Give when the member's newest grant of the term was asked for."""
+        """Return when the poll of the member's newest grant was sent.
+
+        The result is negative infinity if the member's newest answer did
+        not grant the term.
+        """
         grant = self._grants.get(member)
         if grant is None or grant.promised > self._term:
             return float('-inf')
         return grant.sent_at
 
     def held(self, now: float) -> bool:
-        """Tell whether a write may be acknowledged at ``now``."""
+        """Return whether a write may be acknowledged at ``now``."""
         return now < self.valid_until()
--- a/src/tidegrade/core/_row.py
+++ b/src/tidegrade/core/_row.py
@@ -1,4 +1,4 @@
-"""The group's row in the platform's table: its term and its past terms."""
+"""The row of a group in the platform's table: current and past terms."""
 
 import enum
 
@@ -8,16 +8,16 @@
 from tidegrade.core import _types
 
 
-#: Terms that each generation of the platform's table has for itself. Terms
-#: of a former one may be lost with their rows; those of a later one are
-#: above them all. Of three proxies that all restarted after such a loss two
-#: promoted with the same number.
+#: Number of terms reserved for each generation of the platform's table. Rows
+#: can be lost when a generation ends, and their terms with them; the terms of
+#: a later generation are greater than all of them. Without this, two of three
+#: proxies that restarted after such a loss promoted with the same term.
 TERMS_A_GENERATION = 1_000_000
 
 
 @attrs.frozen
 class Fork:
-    """Where a past term's log ends in the history that goes on."""
+    """The end of a past term's log in the history that continues."""
 
     term: int
     end_lsn: int
@@ -27,7 +27,8 @@
 class Attempt:
     """A change of primary in progress.
 
-    ``chosen`` is the endpoint to promote, empty until it is decided.
+    ``by`` is the proxy whose supervisor made the attempt. ``chosen`` is the
+    endpoint to promote, empty until it has been chosen.
     """
 
     id: str
@@ -41,11 +42,11 @@
     """The agreed state of a group.
 
     ``members`` are the endpoints that vote in this term: they grant write
-    permission and count for a majority. They change only with the term,
-    following the configuration of ``config_version``.
+    permission and count towards a majority. They change only with the term
+    and follow the configuration of ``config_version``.
     ``forks`` holds one entry for each past term, oldest first.
-    ``log_term`` is the term that the endpoints themselves count, where
-    that is another number; 0 says that it is the same.
+    ``log_term`` is the term in the endpoints' own data if that differs from
+    ``term``, and 0 if it is the same.
     """
 
     term: int
@@ -58,33 +59,34 @@
 
     @property
     def marker(self) -> int:
-        """Give the term that the data of this term bears."""
+        """The term that the endpoints' data carries in this term."""
         return self.log_term or self.term
 
     @property
     def majority(self) -> int:
-        """Give the number of members that a decision needs."""
+        """The number of members in a majority."""
         return len(self.members) // 2 + 1
 
 
 def first_term(generation: int) -> int:
-    """Give the lowest term of a generation of the table."""
+    """Return the lowest term of a generation of the table."""
     return generation * TERMS_A_GENERATION + 1
 
 
 def began_in(row: GroupRow, generation: int) -> bool:
-    """Tell whether a row's term began in a generation of the table.
+    """Return whether a row's term began in a generation of the table.
 
-    In a later one proxies that held permissions for it may not be listed
-    any more, or not yet again.
+    If the term began in an earlier generation, the table may not list all
+    proxies that hold permission for it: their registrations may be lost or
+    not yet renewed.
     """
     return row.term >= first_term(generation)
 
 
 def next_term(row: GroupRow, generation: int) -> int:
-    """Give a term above all that anybody can have begun.
+    """Return a term greater than any term that may have begun.
 
-    ``generation`` is that of the table that holds ``row``.
+    ``generation`` is the generation of the table that holds ``row``.
     """
     known = row.term if row.attempt is None else row.attempt.next_term
     return max(known + 1, first_term(generation))
@@ -102,11 +104,12 @@
     floor: _types.Position | None,
     positions_restart: bool = False,
 ) -> result.Result[int, FloorProblem]:
-    """Give the lowest LSN of the current term that covers ``floor``.
+    """Return the lowest LSN of the current term that includes ``floor``.
 
-    A position past the fork of its own term, or of a later one, names data
-    that a failover lost. Where positions restart with each term, any
-    position of this term covers what is left of a former one.
+    A position past the fork of its own term or of a later one refers to data
+    that a failover lost. With ``positions_restart``, positions restart with
+    each term, and any position of this term includes the surviving data of
+    former terms.
     """
     if floor is None:
         return result.Ok(0)
--- a/src/tidegrade/core/_setup.py
+++ b/src/tidegrade/core/_setup.py
@@ -1,7 +1,7 @@
-"""Giving a pooled connection the session state that a statement needs.
+"""Prepares the session state of a pooled connection for a statement.
 
-A connection serves many sessions in turn. What it was last told is kept
-beside it, so that only the difference is sent.
+A connection serves many sessions in turn. The state that was last sent on it
+is kept with it, so that only the difference is sent.
 """
 
 from collections.abc import Iterable
@@ -10,8 +10,9 @@
 from tidegrade.core import _pool
 from tidegrade.core import _types
 
-#: Shapes that a connection may know before it is reset, so that neither
-#: side's memory grows with the number of shapes that were ever used.
+#: Most prepared statement shapes on one connection. A connection that would
+#: exceed it is reset, so that memory use of the proxy and of the endpoint does
+#: not grow with the number of shapes ever used.
 MAX_PREPARED = 200
 
 
@@ -20,15 +21,16 @@
     req: _types.Request,
     statements: Iterable[_types.Statement],
 ) -> _jobs.SessionSetup:
-    """Give what ``conn`` must be told, and note that it will be.
+    """Return the setup that ``conn`` needs and record it as applied.
 
-    A connection whose setup fails is closed, so the note can't be wrong
-    for a statement that runs. Every statement of a caller passes here, so
-    none gets onto another tenant's connection.
+    A connection whose setup fails is closed, so the recorded state is
+    correct whenever a statement runs. Every statement of a caller passes
+    through this function, which checks that it does not use another
+    tenant's connection.
     """
     _types.invariant(
         conn.tenant is None or conn.tenant == req.tenant,
-        "a statement on another tenant's connection",
+        "a statement was placed on another tenant's connection",
     )
     wanted = dict(req.values)
     shapes = {s.prepared for s in statements if s.prepared is not None}
@@ -50,8 +52,12 @@
 def _must_reset(
     conn: _pool.Conn, wanted: dict[str, str], shapes: set[_types.Prepared]
 ) -> bool:
-    """Tell whether something must be dropped; never inside a transaction."""
+    """Return whether ``conn`` must be reset; never inside a transaction.
+
+    A reset is needed if the connection has values that the session has not
+    set, or if it would hold more than ``MAX_PREPARED`` shapes.
+    """
     if conn.state is _pool.ConnState.PINNED:
         return False
-    foreign = conn.values.keys() - wanted.keys()
-    return bool(foreign) or len(conn.prepared | shapes) > MAX_PREPARED
+    unset = conn.values.keys() - wanted.keys()
+    return bool(unset) or len(conn.prepared | shapes) > MAX_PREPARED
--- a/src/tidegrade/core/_supervision.py
+++ b/src/tidegrade/core/_supervision.py
@@ -1,4 +1,4 @@
-"""What a supervisor is told, and what it orders in return."""
+"""Events that a supervisor handles and commands that it returns."""
 
 import attrs
 
@@ -12,14 +12,15 @@
 
 @attrs.frozen
 class Observed:
-    """What the proxy knows of the group, told several times a second.
-
-    ``leaving`` are the endpoints that the VM list wants empty. ``peers``
-    are the proxies heard lately, ``opinions`` what they think.
-    ``to_follow`` are the endpoints that may not follow the primary,
-    ``reachable`` those that have not failed to answer this proxy, ``gone``
-    those that no list has named for long. It is ``settled`` once the other
-    proxies have had the time to be heard.
+    """The proxy's current view of the group, sent several times a second.
+
+    ``leaving`` are the endpoints that the VM list marks for draining.
+    ``peers`` are the proxies with recent heartbeats, and ``opinions`` are
+    their opinions on the primary. ``to_follow`` are the endpoints that
+    possibly don't follow the primary, ``reachable`` those whose latest
+    requests from this proxy have not failed, and ``gone`` those that have
+    been missing from the VM list for a long time. ``settled`` is true once
+    the heartbeats of the other proxies have had time to arrive.
     """
 
     cfg: config.Group
@@ -37,14 +38,14 @@
 
 @attrs.frozen
 class Woke:
-    """This process stood still: what it knows of others is old."""
+    """This process resumed after a pause; its view of others is stale."""
 
 
 @attrs.frozen
 class RowRead:
-    """The row as the platform holds it; None if there is none.
+    """The row that the platform holds, or None if there is none.
 
-    ``generation`` is that of the platform's table.
+    ``generation`` is the generation of the platform's table.
     """
 
     row: _row.GroupRow | None
@@ -54,7 +55,7 @@
 
 @attrs.frozen
 class RowWritten:
-    """A conditional write took effect."""
+    """A conditional write of the row succeeded."""
 
     row: _row.GroupRow
     tag: str
@@ -62,9 +63,9 @@
 
 @attrs.frozen
 class RowLost:
-    """A read or write gave no clear answer, or met another version.
+    """A read or write of the row failed or has an unknown outcome.
 
-    ``conflict`` says that another version is there for certain.
+    ``conflict`` is true if the platform is known to hold another version.
     """
 
     conflict: bool = False
@@ -72,7 +73,7 @@
 
 @attrs.frozen
 class ControlEnded:
-    """A job for an endpoint has ended."""
+    """A control job on an endpoint has ended."""
 
     control: int
     endpoint: str
@@ -81,14 +82,14 @@
 
 @attrs.frozen
 class HoldersListed:
-    """The proxies that may hold write permissions, by incarnation."""
+    """The proxies, by incarnation, that may hold write permission."""
 
     proxies: frozenset[str]
 
 
 @attrs.frozen
 class GaveUp:
-    """A proxy has given up its permission below the new term."""
+    """A proxy has released its permission for terms below ``below``."""
 
     proxy: str
     below: int
@@ -123,7 +124,7 @@
 
 @attrs.frozen
 class RunControl:
-    """Run a job on an endpoint, ahead of callers' work."""
+    """Run a control job on an endpoint, with priority over requests."""
 
     control: int
     endpoint: str
@@ -133,17 +134,17 @@
 
 @attrs.frozen
 class ListHolders:
-    """List the registered proxies."""
+    """List the registered proxies, which may hold write permission."""
 
 
 @attrs.frozen
 class RecallControls:
-    """Take back every job for an endpoint that has not ended."""
+    """Cancel every control job that has not ended."""
 
 
 @attrs.frozen
 class AskGiveUp:
-    """Ask these proxies to give up permissions for terms below ``below``."""
+    """Ask proxies to release their permission for terms below ``below``."""
 
     proxies: frozenset[str]
     below: int
@@ -151,14 +152,14 @@
 
 @attrs.frozen
 class Announce:
-    """Tell this proxy's own group machine and all peers of a row."""
+    """Send a row to this proxy's group machine and to all peers."""
 
     row: _row.GroupRow
 
 
 @attrs.frozen
 class Note:
-    """Something that the log must tell; the fields are for people."""
+    """Write a log event; ``detail`` is a sentence for operators."""
 
     event: str
     detail: str
--- a/src/tidegrade/core/_watching.py
+++ b/src/tidegrade/core/_watching.py
@@ -1,4 +1,4 @@
-"""When a term should end: what a supervisor watches between attempts."""
+"""Decides when a supervisor should end the current term of a group."""
 
 from tidegrade.core import _detector
 from tidegrade.core import _membership
@@ -7,107 +7,116 @@
 from tidegrade.core import _supervision as sv
 from tidegrade.core import _turns
 
-#: Pause between the turns of proxies to supervise, in seconds.
-TURN = 0.25
-#: A term lasts at least this long, against flapping, in seconds.
-MIN_TERM = 2.0
-#: How long a majority must have answered again before an attempt, in
-#: seconds: an endpoint that failed is asked again within about a second.
-REACH_SETTLES = 1.5
-#: An attempt of another supervisor may be taken over after this silence, in
-#: seconds.
-TAKEOVER_AFTER = 2.0
-#: How long a supervisor may order a promotion from when it sent the row that
-#: records the choice, in seconds. It is over before others take the attempt
-#: over: the order would bear a lower number than theirs.
-PROMOTION_LEASE = TAKEOVER_AFTER / _permission.MOST_DRIFT
-#: How long other endpoints must have stood in for members that left before
-#: the term ends for that alone, in seconds: writes wait for about half a
-#: second meanwhile, and several may be replaced one after the other.
-MEMBERS_SETTLE = 4.0
+#: Delay between the turns of the proxies to begin an attempt, in seconds.
+TURN_INTERVAL_S = 0.25
+#: Shortest time that a term lasts, in seconds, to prevent flapping.
+MIN_TERM_S = 2.0
+#: Time, in seconds, for which a majority must have been reachable again before
+#: an attempt begins. A failed endpoint is polled again within about a second.
+MAJORITY_SETTLE_S = 1.5
+#: Time without a change of the row, in seconds, after which the attempt of
+#: another supervisor may be taken over.
+TAKEOVER_AFTER_S = 2.0
+#: Lease of a promotion, in seconds: the promotion may be ordered only within
+#: this time after the row that records the choice was sent. It ends before
+#: another supervisor can take the attempt over, since a later order would have
+#: a lower term than that supervisor's.
+PROMOTION_LEASE_S = TAKEOVER_AFTER_S / _permission.MAX_DRIFT_RATIO
+#: Time, in seconds, for which replacements of departed members must have been
+#: available before the term ends for that reason alone. Ending a term delays
+#: writes by about half a second, and several members may be replaced in
+#: succession.
+MEMBERS_SETTLE_S = 4.0
 
 _NEVER = float('inf')
 
 
 def _has_attempt(row: _row.GroupRow | None) -> bool:
-    """Tell whether a change of the primary was under way.
+    """Return whether a row records a change of primary in progress.
 
-    A proxy that has just begun can't know for how long: it took one for
-    stopped 0.19 s after its beginning, which made two supervisors of one.
+    A proxy that has just started can't know the age of the attempt in the
+    first row it sees. If it counted that row as old, it would take over an
+    active attempt and two supervisors would run: this happened 0.19 s after
+    an attempt had begun.
     """
     return row is not None and row.attempt is not None
 
 
-class Watch:
-    """Judges observations of one group, one after another."""
+class TermWatch:
+    """Evaluates successive observations of one group."""
 
     def __init__(self, group: str, proxy: str) -> None:
         self._group = group
         self._proxy = proxy
-        self._known: _row.GroupRow | None = None
+        self._known_row: _row.GroupRow | None = None
         self._row_since = float('-inf')
-        self._reach_since = float('-inf')
-        self._wanted_since: float | None = None
-        self._to_come: frozenset[str] = frozenset()
-        self._to_come_since = _NEVER
+        self._majority_since = float('-inf')
+        self._reason_since: float | None = None
+        self._next_members: frozenset[str] = frozenset()
+        self._replaceable_since = _NEVER
 
     def observe(self, seen: sv.Observed, now: float) -> None:
-        """Take in how things stand."""
-        if seen.row != self._known:
-            if self._known is not None or _has_attempt(seen.row):
+        """Record an observation of the group."""
+        if seen.row != self._known_row:
+            if self._known_row is not None or _has_attempt(seen.row):
                 self._row_since = now
-            self._known = seen.row
-        self._note_reach(seen, now)
-        self._note_members(seen, now)
+            self._known_row = seen.row
+        self._track_majority(seen, now)
+        self._track_next_members(seen, now)
 
-    def woke(self, now: float) -> None:
-        """Begin nothing until it is known again how things stand.
+    def resumed(self, now: float) -> None:
+        """Delay new attempts after a pause of this process.
 
-        After a pause the other proxies seem silent, and the primary too.
+        After a pause, the other proxies and the primary appear not to have
+        answered, although they may be healthy.
         """
-        self._wanted_since = None
-        self._reach_since = max(self._reach_since, now)
+        self._reason_since = None
+        self._majority_since = max(self._majority_since, now)
 
-    def reason_to_begin(self, seen: sv.Observed, now: float) -> str:
-        """Say why this proxy should end the term now; empty if not."""
+    def reason_to_end_term(self, seen: sv.Observed, now: float) -> str:
+        """Return why this proxy should end the term now, or an empty text."""
         reason = self._reason(seen, now)
         if not reason:
-            self._wanted_since = None
+            self._reason_since = None
             return ''
-        if self._wanted_since is None:
-            self._wanted_since = now
+        if self._reason_since is None:
+            self._reason_since = now
         turn = _turns.rank(self._group, self._proxy, seen.peers)
-        if now < self._wanted_since + turn * TURN:
+        if now < self._reason_since + turn * TURN_INTERVAL_S:
             return ''
         return reason
 
-    def _note_reach(self, seen: sv.Observed, now: float) -> None:
-        """Note since when a majority of the members answers.
+    def _track_majority(self, seen: sv.Observed, now: float) -> None:
+        """Record since when a majority of the members has been reachable.
 
-        From where it doesn't, no fence could be raised, and others may see
-        more. When a cut heals, the primary may be the last to answer.
+        A proxy that reaches no majority could not complete a fence, and
+        other proxies may reach more members. When a partition ends, the
+        primary may be the last endpoint to answer.
         """
         row = seen.row
         if row is None:
             return
         if len(seen.reachable & row.members) < row.majority:
-            self._reach_since = _NEVER
-        elif self._reach_since == _NEVER:
-            self._reach_since = now
-
-    def _note_members(self, seen: sv.Observed, now: float) -> None:
-        """Note since when others could replace members that have left."""
-        to_come = _membership.to_come(seen)
-        usable = (
+            self._majority_since = _NEVER
+        elif self._majority_since == _NEVER:
+            self._majority_since = now
+
+    def _track_next_members(self, seen: sv.Observed, now: float) -> None:
+        """Record since when departed members could have been replaced."""
+        next_members = _membership.next_members(seen)
+        replaceable = (
             seen.row is not None
-            and bool(seen.row.members - to_come)
-            and to_come <= seen.reachable
+            and bool(seen.row.members - next_members)
+            and next_members <= seen.reachable
         )
-        if not usable:
-            self._to_come_since = _NEVER
-        elif to_come != self._to_come or self._to_come_since == _NEVER:
-            self._to_come_since = now
-        self._to_come = to_come
+        if not replaceable:
+            self._replaceable_since = _NEVER
+        elif (
+            next_members != self._next_members
+            or self._replaceable_since == _NEVER
+        ):
+            self._replaceable_since = now
+        self._next_members = next_members
 
     def _reason(self, seen: sv.Observed, now: float) -> str:
         if seen.row is None:
@@ -116,28 +125,28 @@
             if not seen.settled:
                 return ''
             return 'the group has no row'
-        if now - self._reach_since < REACH_SETTLES:
+        if now - self._majority_since < MAJORITY_SETTLE_S:
             return ''
         row_age = now - self._row_since
         if seen.row.attempt is not None:
-            own = seen.row.attempt.by == self._proxy
-            if own or row_age > TAKEOVER_AFTER:
-                return 'an attempt has stopped half-way'
+            own_attempt = seen.row.attempt.by == self._proxy
+            if own_attempt or row_age > TAKEOVER_AFTER_S:
+                return 'an attempt was not completed'
             return ''
-        if row_age < MIN_TERM:
+        if row_age < MIN_TERM_S:
             return ''
         return self._reason_in_term(seen, seen.row, now)
 
     def _reason_in_term(
         self, seen: sv.Observed, row: _row.GroupRow, now: float
     ) -> str:
-        if _detector.agreed_down(seen.own, seen.opinions):
+        if _detector.is_agreed_down(seen.own, seen.opinions):
             return 'the primary is down'
         if row.primary in seen.leaving:
             return 'the primary is leaving'
-        newer = seen.config_version > row.config_version
-        if newer and frozenset(seen.cfg.endpoints) != row.members:
+        newer_config = seen.config_version > row.config_version
+        if newer_config and frozenset(seen.cfg.endpoints) != row.members:
             return 'the configuration names other endpoints'
-        if now - self._to_come_since > MEMBERS_SETTLE:
-            return 'members have left and others stand in for them'
+        if now - self._replaceable_since > MEMBERS_SETTLE_S:
+            return 'replacements are available for members that have left'
         return ''
--- a/src/tidegrade/core/supervision.py
+++ b/src/tidegrade/core/supervision.py
@@ -1,4 +1,4 @@
-"""Events and commands of the supervisor, for whoever drives it."""
+"""Public events and commands of the supervisor, for its driver."""
 
 from tidegrade.core._supervision import Announce
 from tidegrade.core._supervision import AskGiveUp
--- a/tests/core/test_deposed.py
+++ b/tests/core/test_deposed.py
@@ -1,13 +1,11 @@
-"""A primary that answers but no longer leads, and orders taken back.
-
-What happens: an order that comes late, of a supervisor that was superseded,
-makes the primary of the newest term a replica. It answers every poll, so
-silence never makes it count as down, and nobody leads the group. Why: a
-primary counted as down by its silence alone.
-
-Soak seed 215 beside 16 busy processes: event 1306 showed `data_term` 3 and
-`promised` 4 at the primary of term 5; 28 s later every write still got
-`no_primary`, and no proxy had logged 1302.
+"""A primary that became a replica, and the cancellation of control jobs.
+
+A late order of a superseded supervisor can make the primary of the newest
+term a replica. That endpoint answers every poll, so a failure detector that
+relies on missing answers alone never counts it as down and the group keeps no
+primary. In soak seed 215, beside 16 busy processes, event 1306 showed
+`data_term` 3 and `promised` 4 at the primary of term 5; every write returned
+`no_primary` until the run ended 28 s later, and no proxy logged event 1302.
 """
 
 import machines
@@ -18,38 +16,38 @@
 FENCE = core.FenceJob(4)
 
 
-def asked(machine: machines.Machine, endpoint: str) -> core.ControlAsked:
+def control_job(machine: machines.Machine, endpoint: str) -> core.ControlAsked:
     return core.ControlAsked(1, endpoint, FENCE, machine.now + 1.0)
 
 
-def poll(machine: machines.Machine) -> None:
-    """Let time pass until each endpoint has been asked again."""
+def poll_all(machine: machines.Machine) -> None:
+    """Advance the time until each endpoint has been polled again."""
     for _ in range(40):
         machine.tick(0.05)
 
 
-def test_a_primary_that_leads_is_not_down(checking):
-    poll(checking)
+def test_a_primary_is_not_down(checking):
+    poll_all(checking)
     assert not checking.core.finds_primary_down(checking.now)
 
 
-def test_a_primary_that_follows_counts_as_down(checking):
+def test_a_primary_that_became_a_replica_counts_as_down(checking):
     checking.reports['a'] = machines.report(100)
-    poll(checking)
+    poll_all(checking)
     assert checking.core.finds_primary_down(checking.now)
 
 
-def test_one_that_leads_again_does_not(checking):
+def test_a_primary_that_is_primary_again_is_not_down(checking):
     checking.reports['a'] = machines.report(100)
-    poll(checking)
+    poll_all(checking)
     checking.reports['a'] = machines.report(100, in_recovery=False)
-    poll(checking)
+    poll_all(checking)
     assert not checking.core.finds_primary_down(checking.now)
 
 
-def test_what_it_was_in_the_former_term_does_not_count(checking):
-    """The next primary was a replica when it was last asked."""
-    poll(checking)
+def test_the_role_in_the_former_term_does_not_count(checking):
+    """The new primary was still a replica at its last poll."""
+    poll_all(checking)
     checking.frozen = {'b'}
     row = core.GroupRow(2, 'b', frozenset(machines.NAMES))
     checking.tell(core.RowSeen(row))
@@ -57,22 +55,22 @@
     assert not checking.core.finds_primary_down(checking.now)
 
 
-def test_an_order_under_way_is_taken_back(checking):
+def test_a_running_control_job_is_cancelled(checking):
     checking.frozen = {'a'}
-    checking.tell(asked(checking, 'a'))
+    checking.tell(control_job(checking, 'a'))
     (conn,) = (c for c, job in checking.running.items() if job == FENCE)
     checking.tell(core.ControlsRecalled())
     assert conn in checking.closed
 
 
 @pytest.mark.parametrize('endpoint', machines.NAMES)
-def test_an_order_that_waits_is_taken_back(checking, endpoint):
-    """No connection is there, and none is to be had, until it is too late."""
+def test_a_waiting_control_job_is_cancelled(checking, endpoint):
+    """A job that waits for a connection is cancelled and never runs."""
     checking.full = {endpoint}
     for conn, name in list(checking.endpoint_of.items()):
         if name == endpoint:
             checking.tell(core.ConnClosed(conn))
-    checking.tell(asked(checking, endpoint))
+    checking.tell(control_job(checking, endpoint))
     assert (endpoint, FENCE) not in checking.jobs
     checking.tell(core.ControlsRecalled())
     checking.full = set()
--- a/tests/core/test_isolation.py
+++ b/tests/core/test_isolation.py
@@ -1,73 +1,82 @@
-"""A failure domain that is cut off from the others."""
+"""A failure domain that is isolated from the others."""
 
 from tidegrade import core
 
-#: Pause between two judgements, in seconds.
-LOOK = 0.1
+#: Interval between two observations, in seconds.
+OBSERVE_INTERVAL_S = 0.1
 
 
-def follow(
+def observe_for_six_seconds(
     isolation: core.Isolation, heard_at: float, permitted_until: float
 ) -> dict[str, list[float]]:
-    """Judge for six seconds; give when each judgement held."""
-    seen: dict[str, list[float]] = {'cut': [], 'refused': [], 'all': []}
+    """Observe for six seconds; return the times at which each verdict held."""
+    held_at: dict[str, list[float]] = {'cut': [], 'refused': [], 'all': []}
     for step in range(60):
-        now = step * LOOK
+        now = step * OBSERVE_INTERVAL_S
         isolation.observe(heard_at, now < permitted_until, now)
         if isolation.cut_off:
-            seen['cut'].append(now)
+            held_at['cut'].append(now)
         if isolation.refused_should_go(now):
-            seen['refused'].append(now)
+            held_at['refused'].append(now)
         if isolation.all_should_go(now):
-            seen['all'].append(now)
-    return seen
+            held_at['all'].append(now)
+    return held_at
 
 
 def test_a_cut_is_told_to_the_balancer_within_two_heartbeats():
-    """Before, at 0.9 s, and callers stayed until 3.1 s."""
-    seen = follow(core.Isolation(), heard_at=0.0, permitted_until=0.9)
-    assert seen['cut'][0] <= 0.75
-    assert seen['refused'][0] <= 1.8
-    assert seen['all'][0] <= 3.0
+    """A slow detection keeps callers on proxies that refuse them.
+
+    Detection at 0.9 s kept callers until 3.1 s.
+    """
+    held_at = observe_for_six_seconds(
+        core.Isolation(), heard_at=0.0, permitted_until=0.9
+    )
+    assert held_at['cut'][0] <= 0.75
+    assert held_at['refused'][0] <= 1.8
+    assert held_at['all'][0] <= 3.0
 
 
-def test_where_the_others_have_died_this_domain_serves():
-    """A permission outlasts the silence only with a majority in reach."""
-    seen = follow(core.Isolation(), heard_at=0.0, permitted_until=9.0)
-    assert len(seen['cut']) * LOOK < 0.6
-    assert not seen['refused']
-    assert not seen['all']
+def test_a_domain_serves_when_the_other_proxies_have_failed():
+    """A permission outlasts the time limit only if a majority is reachable."""
+    held_at = observe_for_six_seconds(
+        core.Isolation(), heard_at=0.0, permitted_until=9.0
+    )
+    assert len(held_at['cut']) * OBSERVE_INTERVAL_S < 0.6
+    assert not held_at['refused']
+    assert not held_at['all']
 
 
 def test_pauses_of_relays_are_no_cut():
-    """Found with 71 proxies: domains counted as cut off a hundred times.
+    """Heartbeats through relays are up to a second old.
 
-    Relays pass heartbeats on, so that each is up to a second old.
+    With 71 proxies, connected domains counted as isolated a hundred times.
     """
     isolation = core.Isolation()
     cut_off = 0
     for step in range(200):
-        now = step * LOOK
-        heard_at = now - 0.3 - (step % 7) * LOOK
+        now = step * OBSERVE_INTERVAL_S
+        heard_at = now - 0.3 - (step % 7) * OBSERVE_INTERVAL_S
         isolation.observe(heard_at, False, now)
         cut_off += isolation.cut_off
     assert cut_off <= 4
 
 
-def test_a_cut_of_relays_is_noticed_all_the_same():
+def test_isolation_is_detected_behind_relays():
     isolation = core.Isolation()
     for step in range(100):
-        now = step * LOOK
-        isolation.observe(now - 0.3 - (step % 7) * LOOK, False, now)
+        now = step * OBSERVE_INTERVAL_S
+        isolation.observe(
+            now - 0.3 - (step % 7) * OBSERVE_INTERVAL_S, False, now
+        )
     heard_at = now - 0.3
     for _ in range(30):
-        now += LOOK
+        now += OBSERVE_INTERVAL_S
         if isolation.observe(heard_at, False, now):
             break
     assert now - heard_at <= 1.8
 
 
-def test_a_domain_that_hears_others_is_in_touch():
+def test_a_domain_with_recent_heartbeats_is_connected():
     isolation = core.Isolation()
     assert not isolation.observe(10.0, False, 10.5)
     assert not isolation.observe(None, False, 99.0)
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -1,4 +1,4 @@
-"""Who votes in the next term, and when a term ends for that alone."""
+"""The members of the next term, and when a change of them ends a term."""
 
 import attrs
 import pytest
@@ -13,8 +13,8 @@
 ROW = core.GroupRow(1, 'a', frozenset('abc'))
 
 
-def seen(names: str, **changes) -> supervision.Observed:
-    """Give an observation of a healthy group with these endpoints."""
+def observed(names: str, **changes) -> supervision.Observed:
+    """Return an observation of a healthy group with these endpoints."""
     cfg = config.Group(
         endpoints={name: config.Endpoint(name, 1, 'x') for name in names},
         initial_primary='a',
@@ -35,63 +35,72 @@
 
 
 def test_who_leaves_gives_its_vote_to_who_came():
-    found = seen('abcd', leaving=frozenset('c'))
-    assert _membership.to_come(found) == frozenset('abd')
+    observation = observed('abcd', leaving=frozenset('c'))
+    assert _membership.next_members(observation) == frozenset('abd')
 
 
-def test_who_is_gone_gives_its_vote_to_who_came():
-    found = seen('abcd', gone=frozenset('b'), reachable=frozenset('acd'))
-    assert _membership.to_come(found) == frozenset('acd')
+def test_a_gone_member_is_replaced_by_a_new_one():
+    observation = observed(
+        'abcd', gone=frozenset('b'), reachable=frozenset('acd')
+    )
+    assert _membership.next_members(observation) == frozenset('acd')
 
 
 def test_a_vote_is_kept_while_nobody_takes_it_over():
-    assert _membership.to_come(
-        seen('abc', leaving=frozenset('c'))
+    assert _membership.next_members(
+        observed('abc', leaving=frozenset('c'))
     ) == frozenset('abc')
-    gone_and_leaving = seen(
+    gone_and_leaving = observed(
         'abcd', leaving=frozenset('b'), gone=frozenset('c')
     )
-    assert _membership.to_come(gone_and_leaving) == frozenset('abd')
+    assert _membership.next_members(gone_and_leaving) == frozenset('abd')
 
 
-def test_who_came_votes_beside_the_others():
-    assert _membership.to_come(seen('abcd')) == frozenset('abcd')
+def test_a_new_endpoint_becomes_a_member():
+    assert _membership.next_members(observed('abcd')) == frozenset('abcd')
 
 
 @pytest.fixture
-def watch() -> _watching.Watch:
-    made = _watching.Watch('g', 'p')
-    made.observe(seen('abc'), 0.0)
+def watch() -> _watching.TermWatch:
+    made = _watching.TermWatch('g', 'p')
+    made.observe(observed('abc'), 0.0)
     return made
 
 
-def reasons(watch, found, *times: float) -> list[str]:
-    """Give what the watch says at each time."""
-    said = []
+def reasons(watch, observation, *times: float) -> list[str]:
+    """Return the reason to end the term at each time."""
+    returned = []
     for now in times:
-        watch.observe(found, now)
-        said.append(watch.reason_to_begin(found, now))
-    return said
+        watch.observe(observation, now)
+        returned.append(watch.reason_to_end_term(observation, now))
+    return returned
 
 
 def test_a_replaced_replica_ends_the_term_once_that_is_settled(watch):
-    """Found on a day: two of four voters were in a domain that was cut."""
-    found = seen('abcd', leaving=frozenset('c'))
-    assert reasons(watch, found, 10.0, 13.0) == ['', '']
-    assert reasons(watch, found, 14.5) != ['']
+    """A departed member that keeps its vote weakens the majority.
+
+    Two of four voters were in one domain when it was isolated.
+    """
+    observation = observed('abcd', leaving=frozenset('c'))
+    assert reasons(watch, observation, 10.0, 13.0) == ['', '']
+    assert reasons(watch, observation, 14.5) != ['']
 
 
-def test_it_waits_until_all_who_are_to_vote_answer(watch):
-    found = seen('abcd', leaving=frozenset('c'), reachable=frozenset('abc'))
-    assert reasons(watch, found, 10.0, 15.0, 20.0) == ['', '', '']
+def test_a_term_ends_only_when_all_next_members_are_reachable(watch):
+    observation = observed(
+        'abcd', leaving=frozenset('c'), reachable=frozenset('abc')
+    )
+    assert reasons(watch, observation, 10.0, 15.0, 20.0) == ['', '', '']
 
 
-def test_nothing_ends_while_nobody_takes_a_vote_over(watch):
-    found = seen('abc', gone=frozenset('c'), reachable=frozenset('ab'))
-    assert reasons(watch, found, 10.0, 20.0) == ['', '']
+def test_no_term_ends_without_a_replacement(watch):
+    observation = observed(
+        'abc', gone=frozenset('c'), reachable=frozenset('ab')
+    )
+    assert reasons(watch, observation, 10.0, 20.0) == ['', '']
 
 
-def test_the_new_members_are_in_the_row_that_is_published(watch):
+def test_no_term_ends_once_the_replacement_is_a_member(watch):
     row = attrs.evolve(ROW, members=frozenset('abd'))
-    found = seen('abcd', row=row, gone=frozenset('c'))
-    assert reasons(watch, found, 10.0, 20.0) == ['', '']
+    observation = observed('abcd', row=row, gone=frozenset('c'))
+    assert reasons(watch, observation, 10.0, 20.0) == ['', '']
--- a/tests/core/test_outlook.py
+++ b/tests/core/test_outlook.py
@@ -1,4 +1,4 @@
-"""Refusing at once what can't be served before its limit."""
+"""Immediate refusal of requests that can't be served before their limit."""
 
 import random
 
@@ -7,43 +7,43 @@
 from tidegrade import core
 from tidegrade.core import _outlook
 
-#: How long a statement of an urgent route may wait to be placed.
-PLACE_WITHIN = 0.6
+#: Time, in seconds, that a statement of an urgent route may wait for a slot.
+PLACE_WITHIN_S = 0.6
 
 
 def lose_permission(machine: machines.Machine, seconds: float) -> None:
-    """Let nobody answer, as for a domain that is cut off."""
+    """Let no endpoint answer, as in an isolated domain."""
     machine.frozen = set(machines.NAMES)
     for _ in range(round(seconds / 0.05)):
         machine.tick(0.05)
 
 
-def ask(machine: machines.Machine, number: int, **changes) -> None:
+def send_read(machine: machines.Machine, number: int, **changes) -> None:
     machine.read(
         number,
         max_age=0.0,
         deadline=machine.now + 0.8,
-        place_by=machine.now + PLACE_WITHIN,
+        place_by=machine.now + PLACE_WITHIN_S,
         **changes,
     )
 
 
-def test_after_an_outage_as_long_as_the_wait_it_is_refused_at_once(checking):
-    """Replays a cut: before, each request was held for 0.6 s, then refused."""
-    lose_permission(checking, 1.0 + PLACE_WITHIN + 0.1)
-    ask(checking, 1)
+def test_an_outage_longer_than_the_limit_refuses_at_once(checking):
+    """In a partition, each request used to wait 0.6 s before its refusal."""
+    lose_permission(checking, 1.0 + PLACE_WITHIN_S + 0.1)
+    send_read(checking, 1)
     answer = checking.answers[1]
     assert answer.outcome is core.Outcome.NOT_RUN
-    assert answer.retry_after >= _outlook.MIN_RETURN
+    assert answer.retry_after >= _outlook.MIN_RETRY_AFTER_S
 
 
-def test_early_in_an_outage_a_request_waits(checking):
+def test_a_request_waits_early_in_an_outage(checking):
     lose_permission(checking, 1.1)
-    ask(checking, 1)
+    send_read(checking, 1)
     assert 1 not in checking.answers
     checking.frozen = set()
-    settled = dict(checking.running.items())
-    for conn in settled:
+    unanswered = dict(checking.running.items())
+    for conn in unanswered:
         del checking.running[conn]
         checking.tell(core.ConnClosed(conn))
     for _ in range(20):
@@ -51,26 +51,26 @@
     assert checking.answers[1].outcome is core.Outcome.DONE
 
 
-def test_cut_off_a_request_is_refused_as_soon_as_the_permission_ends(checking):
+def test_an_isolated_proxy_refuses_once_the_permission_expires(checking):
     checking.tell(core.CutOff(True))
-    ask(checking, 1)
+    send_read(checking, 1)
     assert checking.answers[1].outcome is core.Outcome.DONE
     lose_permission(checking, 1.1)
-    ask(checking, 2)
+    send_read(checking, 2)
     assert checking.answers[2].outcome is core.Outcome.NOT_RUN
 
 
-def test_a_change_under_way_is_waited_for_when_it_ends_in_time(checking):
-    """Held requests are served by the new primary; earlier ones are not."""
+def test_a_request_waits_for_a_change_expected_within_its_limit(checking):
+    """A request waits only if the new primary is expected before its limit."""
     checking.tell(core.GiveUp(2))
     attempt = core.Attempt('x', 'p2', 2)
     row = core.GroupRow(1, 'a', frozenset(machines.NAMES), attempt=attempt)
     checking.tell(core.RowSeen(row))
-    ask(checking, 1)
+    send_read(checking, 1)
     assert checking.answers[1].outcome is core.Outcome.NOT_RUN
-    near_its_end = _outlook.USUAL_CHANGE - PLACE_WITHIN / 2
-    checking.tick(near_its_end)
-    ask(checking, 2)
+    shortly_before_the_end = _outlook.INITIAL_CHANGE_S - PLACE_WITHIN_S / 2
+    checking.tick(shortly_before_the_end)
+    send_read(checking, 2)
     assert 2 not in checking.answers
     checking.new_term()
     for _ in range(10):
@@ -78,14 +78,14 @@
     assert checking.answers[2].outcome is core.Outcome.DONE
 
 
-def test_a_write_that_may_have_run_is_not_called_not_run(checking):
+def test_a_write_that_may_have_run_has_an_unknown_outcome(checking):
     checking.frozen = set(machines.NAMES)
     req = core.Request(
         id=1,
         tenant='t',
         kind=core.Kind.WRITE,
         deadline=checking.now + 0.8,
-        place_by=checking.now + PLACE_WITHIN,
+        place_by=checking.now + PLACE_WITHIN_S,
         statements=(core.Statement('WRITE 1 x'),),
         autocommit=True,
     )
@@ -95,22 +95,22 @@
     assert checking.answers[1].outcome is core.Outcome.UNKNOWN
 
 
-def test_the_length_of_changes_is_learned():
-    outlook = _outlook.Outlook()
+def test_the_mean_length_of_changes_is_updated():
+    estimate = _outlook.Outlook()
     for start in range(0, 100, 10):
-        outlook.change_seen(start)
-        outlook.change_over(start + 0.5)
-    assert 0.5 <= outlook.usual_change < 0.6
-    outlook.change_seen(200)
-    assert outlook.expected_at(200.1) < 200.7
+        estimate.change_seen(start)
+        estimate.change_over(start + 0.5)
+    assert 0.5 <= estimate.mean_change_s < 0.6
+    estimate.change_seen(200)
+    assert estimate.expected_at(200.1) < 200.7
 
 
-def test_urgent_callers_return_first_and_not_all_at_once():
-    outlook = _outlook.Outlook()
-    outlook.observe(True, 10.0)
+def test_urgent_callers_retry_first_and_spread_out():
+    estimate = _outlook.Outlook()
+    estimate.observe(True, 10.0)
     rng = random.Random(1)
-    urgent = [outlook.return_after(0, 11.0, rng) for _ in range(50)]
-    others = [outlook.return_after(2, 11.0, rng) for _ in range(50)]
+    urgent = [estimate.return_after(0, 11.0, rng) for _ in range(50)]
+    others = [estimate.return_after(2, 11.0, rng) for _ in range(50)]
     assert max(urgent) < min(others)
     assert max(urgent) - min(urgent) > 0.3
     assert min(urgent) >= 1.0
--- a/tests/core/test_permission.py
+++ b/tests/core/test_permission.py
@@ -1,4 +1,4 @@
-"""Write permissions: majorities, fences, time."""
+"""Write permissions: majorities, fences and expiry."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -22,7 +22,7 @@
     assert not held.held(10.0)
 
 
-def test_a_majority_grants_from_the_sending_of_its_oldest_poll():
+def test_a_permission_runs_from_the_oldest_poll_of_its_majority():
     held = permission()
     held.answered('a', 0, 10.0)
     held.answered('b', 0, 10.5)
@@ -45,7 +45,7 @@
     assert not held.held(10.2)
 
 
-def test_an_answer_that_arrives_late_changes_nothing():
+def test_a_late_answer_is_ignored():
     held = permission()
     held.answered('a', 0, 10.0)
     held.answered('b', 2, 10.2)
@@ -53,7 +53,7 @@
     assert not held.held(10.2)
 
 
-def test_given_up_is_never_held_again():
+def test_a_released_permission_is_never_held_again():
     held = permission()
     held.give_up(2, 10.2)
     held.answered('a', 0, 10.0)
@@ -61,7 +61,7 @@
     assert not held.held(10.0)
 
 
-def test_grants_do_not_pass_to_the_next_term():
+def test_grants_do_not_carry_over_to_the_next_term():
     held = permission()
     held.answered('a', 0, 10.0)
     held.answered('b', 0, 10.0)
@@ -83,7 +83,7 @@
     fenced_at=st.floats(0, 3),
 )
 def test_no_permission_outlives_a_fenced_majority(polls, fence, fenced_at):
-    """Whatever is polled when, the wait of a supervisor is enough."""
+    """The supervisor's wait is sufficient for any sequence of polls."""
     held = permission()
     for member, sent_at in polls:
         fenced = member in fence and sent_at >= fenced_at
@@ -92,7 +92,7 @@
 
 
 def test_nobody_else_could_lead_only_until_it_is_given_up():
-    """What an old primary shows after that may lack acknowledged writes."""
+    """Later reads on the former primary may lack acknowledged writes."""
     held = permission()
     held.answered('a', 0, 10.0)
     held.answered('b', 0, 10.0)
--- a/tests/core/test_row.py
+++ b/tests/core/test_row.py
@@ -1,4 +1,4 @@
-"""Positions across terms."""
+"""Mapping of session positions to the current term."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -35,13 +35,13 @@
     assert found.unwrap_err() is _row.FloorProblem.LOST
 
 
-def test_newer_term_is_told():
+def test_a_position_of_a_newer_term_is_reported():
     row = row_with(term=1)
     found = _row.floor_lsn(row, core.Position(2, 1))
     assert found.unwrap_err() is _row.FloorProblem.NEWER_TERM
 
 
-def test_no_floor_needs_nothing():
+def test_a_request_without_a_floor_has_lsn_zero():
     assert _row.floor_lsn(row_with(term=1), None).unwrap() == 0
 
 
--- a/tests/core/test_setup.py
+++ b/tests/core/test_setup.py
@@ -1,4 +1,4 @@
-"""What a pooled connection is told before a session's statement."""
+"""The setup of a pooled connection before a session's statement."""
 
 import pytest
 
@@ -22,7 +22,7 @@
 STATEMENT = core.Statement('x', prepared=SHAPE)
 
 
-def test_only_the_difference_is_told(conn):
+def test_only_the_difference_is_sent(conn):
     first = _setup.setup_for(conn, request(a='1', b='2'), ())
     assert first.values == (('a', '1'), ('b', '2'))
     again = _setup.setup_for(conn, request(a='1', b='3'), ())
@@ -35,7 +35,7 @@
     assert other == core.SessionSetup(True, (('b', '2'),))
 
 
-def test_a_shape_is_made_known_once_until_a_reset(conn):
+def test_a_shape_is_prepared_once_until_a_reset(conn):
     first = _setup.setup_for(conn, request(), (STATEMENT,))
     assert first.prepared == (SHAPE,)
     assert _setup.setup_for(conn, request(), (STATEMENT,)).prepared == ()
@@ -50,7 +50,7 @@
     assert not _setup.setup_for(conn, request(), ()).reset
 
 
-def test_shapes_do_not_pile_up(conn):
+def test_the_number_of_shapes_is_limited(conn):
     for number in range(_setup.MAX_PREPARED + 1):
         shape = core.Prepared(f'q{number}')
         stmt = core.Statement('x', prepared=shape)
