--- a/src/tidegrade/core/__init__.py
+++ b/src/tidegrade/core/__init__.py
@@ -84,7 +84,7 @@
 from tidegrade.core._row import Attempt
 from tidegrade.core._row import Fork
 from tidegrade.core._row import GroupRow
-from tidegrade.core._row import TERMS_A_GENERATION
+from tidegrade.core._row import TERMS_PER_GENERATION
 from tidegrade.core._sources import Source
 from tidegrade.core._sources import Sources
 from tidegrade.core._state import LONGEST_DELAY
@@ -120,7 +120,7 @@
     'NO_LOSS',
     'POSTGRESQL',
     'START_GRANTS',
-    'TERMS_A_GENERATION',
+    'TERMS_PER_GENERATION',
     'Admission',
     'Adoption',
     'Answer',
--- a/src/tidegrade/core/_adoption.py
+++ b/src/tidegrade/core/_adoption.py
@@ -18,20 +18,20 @@
     """The configuration in force and the newest one that is known.
 
     ``wanted`` is a newer version whose content has not been fetched yet.
-    ``went_back`` counts the reads in which the platform's store returned an
-    older version than the one in force.
+    ``store_regressions`` counts the reads in which the platform's store
+    returned an older version than the one in force.
     """
 
     in_force: ConfigRef | None = None
     wanted: ConfigRef | None = None
-    went_back: int = 0
+    store_regressions: int = 0
 
     @property
     def version(self) -> int:
         """The version in force, 0 before the first."""
         return self.in_force.version if self.in_force else 0
 
-    def heard(self, ref: ConfigRef) -> bool:
+    def record_ref(self, ref: ConfigRef) -> bool:
         """Record a reference and return whether its content must be fetched.
 
         A version that is not newer than the newest known one is ignored.
@@ -42,11 +42,11 @@
         self.wanted = ref
         return True
 
-    def stored(self, ref: ConfigRef | None) -> None:
-        """Count it in ``went_back`` if the store shows an older version."""
+    def check_stored(self, ref: ConfigRef | None) -> None:
+        """Count a regression if the store shows an older version."""
         shown = ref.version if ref else 0
         if shown < self.version:
-            self.went_back += 1
+            self.store_regressions += 1
 
     def adopt(self, ref: ConfigRef) -> bool:
         """Put a newer configuration in force; return whether it was newer."""
--- a/src/tidegrade/core/_failover.py
+++ b/src/tidegrade/core/_failover.py
@@ -123,11 +123,11 @@
             sv.Observed: self._observed,
             sv.RowRead: self._row_read,
             sv.RowWritten: self._row_written,
-            sv.RowLost: self._row_lost,
+            sv.RowRequestFailed: self._row_lost,
             sv.ControlEnded: self._control_ended,
             sv.HoldersListed: self._holders_listed,
-            sv.GaveUp: self._permission_released,
-            sv.Woke: self._process_resumed,
+            sv.PermissionReleased: self._permission_released,
+            sv.ProcessResumed: self._process_resumed,
         }
 
     @property
@@ -181,7 +181,7 @@
             attempt is not None and attempt.next_term > own.attempt.next_term
         )
 
-    def _process_resumed(self, event: sv.Woke, now: float) -> None:
+    def _process_resumed(self, event: sv.ProcessResumed, now: float) -> None:
         self._watch.resumed(now)
 
     def _order_follow(self, now: float) -> None:
@@ -227,10 +227,10 @@
         Control jobs that have not ended are cancelled, since they could
         reach the primary of a later term.
         """
-        self._commands.append(sv.Note('attempt_abandoned', why))
+        self._commands.append(sv.WriteLog('attempt_abandoned', why))
         if self._controls:
             self._controls.clear()
-            self._commands.append(sv.RecallControls())
+            self._commands.append(sv.CancelControls())
         self._step = Step.WATCH
         self._retry_at = now + self._rng.uniform(MIN_BACKOFF_S, MAX_BACKOFF_S)
 
@@ -259,7 +259,7 @@
         if event.row is None:
             self._begin_setup(now)
             return
-        self._commands.append(sv.Announce(event.row))
+        self._commands.append(sv.AnnounceRow(event.row))
         seen = self._seen
         assert seen is not None
         if seen.row is None or event.row != seen.row:
@@ -289,7 +289,7 @@
         self._progress.row = claimed
         self._enter(Step.CLAIM, now)
         self._commands.append(
-            sv.Note(
+            sv.WriteLog(
                 'term_ending',
                 f'term {row.term}: {self._progress.reason}',
             )
@@ -300,7 +300,7 @@
         if event.row != self._progress.row:
             return
         self._progress.tag = event.tag
-        self._commands.append(sv.Announce(event.row))
+        self._commands.append(sv.AnnounceRow(event.row))
         if self._step is Step.SETUP:
             self._step = Step.WATCH
         elif self._step is Step.CLAIM:
@@ -310,7 +310,7 @@
         elif self._step is Step.PUBLISH:
             self._published(event.row, now)
 
-    def _row_lost(self, event: sv.RowLost, now: float) -> None:
+    def _row_lost(self, event: sv.RowRequestFailed, now: float) -> None:
         if self._step is Step.PUBLISH and not event.conflict:
             # The endpoint is already promoted, so the write is repeated
             # instead of starting another attempt.
@@ -373,7 +373,9 @@
         self._enter(Step.REVOKE, now)
         self._revoke(now)
 
-    def _permission_released(self, event: sv.GaveUp, now: float) -> None:
+    def _permission_released(
+        self, event: sv.PermissionReleased, now: float
+    ) -> None:
         row = self._progress.row
         if self._step is not Step.REVOKE or row is None:
             return
@@ -394,7 +396,7 @@
         if now - progress.last_request_at >= REPEAT_INTERVAL_S:
             progress.last_request_at = now
             below = progress.row.attempt.next_term
-            self._commands.append(sv.AskGiveUp(missing, below))
+            self._commands.append(sv.RequestRelease(missing, below))
 
     # Choosing -------------------------------------------------------------
 
@@ -514,7 +516,7 @@
         self._step = Step.WATCH
         self._last_follow_at = float('-inf')
         self._commands.append(
-            sv.Note(
+            sv.WriteLog(
                 'term_begun',
                 f'term {row.term} with primary {row.primary}',
             )
--- a/src/tidegrade/core/_group.py
+++ b/src/tidegrade/core/_group.py
@@ -336,9 +336,9 @@
             return
         former, state.row = state.row, event.row
         if event.row.attempt is None:
-            state.outlook.change_over(now)
+            state.outlook.change_ended(now)
         else:
-            state.outlook.change_seen(now)
+            state.outlook.change_began(now)
         if former is not None and event.row.term > former.term:
             state.keep_former(former)
         if former is None or event.row.term > former.term:
@@ -347,7 +347,7 @@
     def _new_term(self, row: _row.GroupRow, now: float) -> None:
         rules = _permission.PermissionRules(row.members)
         self._state.term_since = now
-        self._state.outlook.improved(now)
+        self._state.outlook.reset_outage(now)
         self._state.permission.start_term(row.term, rules)
         self._state.samples.clear()
         self._leave_others(row.primary, now)
@@ -357,7 +357,7 @@
                 pending, _types.Code.UNCONFIRMED, now
             )
             self._retry_if(again, pending)
-        self._polls.hurry()
+        self._polls.make_all_due()
         self._polls.poll_due(now)
 
     def _leave_others(self, primary: str, now: float) -> None:
@@ -416,7 +416,7 @@
 
     def _paused(self, event: _events.Paused, now: float) -> None:
         self._excuse(now)
-        self._state.outlook.improved(now)
+        self._state.outlook.reset_outage(now)
         if event.seconds > _state.LONGEST_PAUSE:
             self._state.paused_at = now
             self._state.order(_events.FetchRow())
@@ -446,7 +446,7 @@
 
     def _cut_off(self, event: _events.CutOff, now: float) -> None:
         self._state.outlook.cut_off = event.cut_off
-        self._state.outlook.improved(now)
+        self._state.outlook.reset_outage(now)
 
     def _drain_started(self, event: _events.DrainStarted, now: float) -> None:
         self._state.draining = True
@@ -471,7 +471,7 @@
         self._polls.poll_due(now)
 
     def _close_overdue_conns(self, now: float) -> None:
-        for conn in self._polls.stuck(now):
+        for conn in self._polls.overdue_openings(now):
             self._state.views[conn.endpoint].failed(False, now)
             self._state.pool.give_up_opening(conn, now)
             self._state.close(conn)
--- a/src/tidegrade/core/_isolation.py
+++ b/src/tidegrade/core/_isolation.py
@@ -54,7 +54,7 @@
         return self.since is not None
 
     @property
-    def usual_silence(self) -> float:
+    def silence_limit_s(self) -> float:
         """The time without a heartbeat up to which the domain is connected."""
         return max(
             MIN_ISOLATION_SILENCE_S, HEARTBEAT_GAP_FACTOR * self._longest_gap
@@ -77,7 +77,7 @@
             self.since = now
         return self.cut_off != before
 
-    def refused_should_go(self, now: float) -> bool:
+    def should_close_refused(self, now: float) -> bool:
         """Return whether to close a session whose request was refused.
 
         The caller has just received its answer, so no request of it is in
@@ -89,7 +89,7 @@
             and now - self.since >= MIN_BALANCER_DETECTION_S
         )
 
-    def all_should_go(self, now: float) -> bool:
+    def should_close_idle(self, now: float) -> bool:
         """Return whether to close idle sessions as well."""
         if self.since is None:
             return False
@@ -101,7 +101,7 @@
         if heard_at is None:
             return False
         self.silence = now - heard_at
-        if self.silence < self.usual_silence:
+        if self.silence < self.silence_limit_s:
             return False
         return not permitted or self.silence < PEERS_FAILED_SILENCE_S
 
--- a/src/tidegrade/core/_needs.py
+++ b/src/tidegrade/core/_needs.py
@@ -126,7 +126,7 @@
             # Nobody waits for this proxy before another endpoint leads.
             return None
         sample = self._state.samples.since(at)
-        covered = self._state.permission.covered_until()
+        covered = self._state.permission.exclusive_until()
         if sample is None or sample.at > covered:
             return None
         return sample
--- a/src/tidegrade/core/_permission.py
+++ b/src/tidegrade/core/_permission.py
@@ -94,7 +94,7 @@
             self._released_at = min(self._released_at, now)
         self._released_below = max(self._released_below, below)
 
-    def valid_until(self) -> float:
+    def expires_at(self) -> float:
         """Return the time at which the permission expires."""
         if self._term < self._released_below:
             return float('-inf')
@@ -113,7 +113,7 @@
             return float('-inf')
         return sent[self._rules.majority - 1] + PERMISSION_LENGTH
 
-    def covered_until(self) -> float:
+    def exclusive_until(self) -> float:
         """Return a time until which no other primary can exist.
 
         Until then, reads on the primary return the group's newest state.
@@ -139,4 +139,4 @@
 
     def held(self, now: float) -> bool:
         """Return whether a write may be acknowledged at ``now``."""
-        return now < self.valid_until()
+        return now < self.expires_at()
--- a/src/tidegrade/core/_polls.py
+++ b/src/tidegrade/core/_polls.py
@@ -151,7 +151,7 @@
         """Poll an endpoint soon because another proxy considers it down."""
         self._suspected_at[name] = now
 
-    def hurry(self) -> None:
+    def make_all_due(self) -> None:
         """Make all polls due at once, as after a change of term."""
         self._last_poll_at.clear()
         for view in self._state.views.values():
@@ -185,7 +185,7 @@
         if not self._state.pool.of(name):
             self._state.open_if_allowed(name, self._state.own_tenant, now)
 
-    def stuck(self, now: float) -> list[_pool.Conn]:
+    def overdue_openings(self, now: float) -> list[_pool.Conn]:
         """Return the connections whose opening has exceeded the timeout."""
         return [
             conn
--- a/src/tidegrade/core/_outlook.py
+++ b/src/tidegrade/core/_recovery.py
@@ -29,7 +29,7 @@
 
 
 @attrs.define
-class Outlook:
+class RecoveryEstimate:
     """Estimates when the permission will be held again; times in seconds.
 
     An outage of unknown cause is expected to last as long again as it has
@@ -39,7 +39,7 @@
     callers can use other domains.
     """
 
-    began_at: float = float('inf')
+    first_observed_at: float = float('inf')
     outage_reset_at: float = float('-inf')
     change_began_at: float | None = None
     mean_change_s: float = INITIAL_CHANGE_S
@@ -47,11 +47,11 @@
 
     def observe(self, permitted: bool, now: float) -> None:
         """Record whether the permission is held at ``now``."""
-        self.began_at = min(self.began_at, now)
+        self.first_observed_at = min(self.first_observed_at, now)
         if permitted:
             self.outage_reset_at = now
 
-    def improved(self, now: float) -> None:
+    def reset_outage(self, now: float) -> None:
         """Measure the outage from ``now`` on.
 
         Called when a term has begun, this process has resumed after a pause,
@@ -60,12 +60,12 @@
         """
         self.outage_reset_at = now
 
-    def change_seen(self, now: float) -> None:
+    def change_began(self, now: float) -> None:
         """Record that a change of primary has begun."""
         if self.change_began_at is None:
             self.change_began_at = now
 
-    def change_over(self, now: float) -> None:
+    def change_ended(self, now: float) -> None:
         """Record that the next term has begun or the change was abandoned."""
         if self.change_began_at is None:
             return
@@ -73,7 +73,7 @@
         self.mean_change_s += CHANGE_SMOOTHING * (took - self.mean_change_s)
         self.change_began_at = None
 
-    def expected_at(self, now: float) -> float:
+    def recovery_expected_at(self, now: float) -> float:
         """Return the time at which requests can probably be served again.
 
         It is infinity while this proxy is isolated.
@@ -84,7 +84,7 @@
             return max(now, self.change_began_at + self.mean_change_s)
         return now + self._outage_length(now)
 
-    def return_after(
+    def retry_after_s(
         self, priority: int, now: float, rng: random.Random
     ) -> float:
         """Return the time after which a refused caller may retry, in seconds.
@@ -93,7 +93,7 @@
         that they don't all arrive at once; urgent callers retry in the first
         half of that interval.
         """
-        wait = min(self.expected_at(now) - now, MAX_RETRY_AFTER_S)
+        wait = min(self.recovery_expected_at(now) - now, MAX_RETRY_AFTER_S)
         if self.cut_off:
             # Another domain can serve the caller at once.
             wait = 0.0
@@ -103,4 +103,4 @@
 
     def _outage_length(self, now: float) -> float:
         """Return the length of the current outage, in seconds."""
-        return now - max(self.outage_reset_at, self.began_at)
+        return now - max(self.outage_reset_at, self.first_observed_at)
--- a/src/tidegrade/core/_registry.py
+++ b/src/tidegrade/core/_registry.py
@@ -63,7 +63,7 @@
         state = self._state
         if state.may_acknowledge(now):
             return []
-        expected = state.outlook.expected_at(now)
+        expected = state.outlook.recovery_expected_at(now)
         return [
             p
             for p in self._open.values()
@@ -89,7 +89,7 @@
 
     def _trace(self, pending: _pending.Pending) -> _types.Trace:
         row = self._state.row
-        until = self._state.permission.valid_until()
+        until = self._state.permission.expires_at()
         left = None
         if until != float('-inf'):
             left = until - self._state.now
@@ -140,7 +140,7 @@
             return None
         state = self._state
         if pending.needs_permission and not state.may_acknowledge(state.now):
-            return state.outlook.return_after(
+            return state.outlook.retry_after_s(
                 pending.req.priority, state.now, state.rng
             )
         if code is _types.Code.NO_PRIMARY:
@@ -152,7 +152,7 @@
         return _shares.is_pressed(
             waited=now - pending.arrived,
             service=self.service.mean,
-            age=now - self._state.outlook.began_at,
+            age=now - self._state.outlook.first_observed_at,
         )
 
     def width(self) -> int:
--- a/src/tidegrade/core/_row.py
+++ b/src/tidegrade/core/_row.py
@@ -12,7 +12,7 @@
 #: can be lost when a generation ends, and their terms with them; the terms of
 #: a later generation are greater than all of them. Without this, two of three
 #: proxies that restarted after such a loss promoted with the same term.
-TERMS_A_GENERATION = 1_000_000
+TERMS_PER_GENERATION = 1_000_000
 
 
 @attrs.frozen
@@ -70,7 +70,7 @@
 
 def first_term(generation: int) -> int:
     """Return the lowest term of a generation of the table."""
-    return generation * TERMS_A_GENERATION + 1
+    return generation * TERMS_PER_GENERATION + 1
 
 
 def began_in(row: GroupRow, generation: int) -> bool:
--- a/src/tidegrade/core/_state.py
+++ b/src/tidegrade/core/_state.py
@@ -7,9 +7,9 @@
 from tidegrade import config
 from tidegrade.core import _events
 from tidegrade.core import _jobs
-from tidegrade.core import _outlook
 from tidegrade.core import _permission
 from tidegrade.core import _pool
+from tidegrade.core import _recovery
 from tidegrade.core import _row
 from tidegrade.core import _shares
 from tidegrade.core import _traits
@@ -61,7 +61,9 @@
     paused_at: float | None = None
     polls_for_peers: bool = True
     draining: bool = False
-    outlook: _outlook.Outlook = attrs.field(factory=_outlook.Outlook)
+    outlook: _recovery.RecoveryEstimate = attrs.field(
+        factory=_recovery.RecoveryEstimate
+    )
     now: float = 0.0
     leaving_since: dict[str, float] = attrs.field(factory=dict)
     commands: list[_events.Command] = attrs.field(factory=list)
@@ -154,7 +156,7 @@
 
     def keep_former(self, row: _row.GroupRow) -> None:
         """Keep the newest dated position of a term that ends."""
-        last = self.samples.until(self.permission.covered_until())
+        last = self.samples.until(self.permission.exclusive_until())
         if last is None:
             return
         if self.former is not None and self.former.at >= last.at:
--- a/src/tidegrade/core/_supervision.py
+++ b/src/tidegrade/core/_supervision.py
@@ -37,7 +37,7 @@
 
 
 @attrs.frozen
-class Woke:
+class ProcessResumed:
     """This process resumed after a pause; its view of others is stale."""
 
 
@@ -62,7 +62,7 @@
 
 
 @attrs.frozen
-class RowLost:
+class RowRequestFailed:
     """A read or write of the row failed or has an unknown outcome.
 
     ``conflict`` is true if the platform is known to hold another version.
@@ -88,7 +88,7 @@
 
 
 @attrs.frozen
-class GaveUp:
+class PermissionReleased:
     """A proxy has released its permission for terms below ``below``."""
 
     proxy: str
@@ -99,11 +99,11 @@
     Observed
     | RowRead
     | RowWritten
-    | RowLost
+    | RowRequestFailed
     | ControlEnded
     | HoldersListed
-    | GaveUp
-    | Woke
+    | PermissionReleased
+    | ProcessResumed
 )
 
 # Commands -----------------------------------------------------------------
@@ -138,12 +138,12 @@
 
 
 @attrs.frozen
-class RecallControls:
+class CancelControls:
     """Cancel every control job that has not ended."""
 
 
 @attrs.frozen
-class AskGiveUp:
+class RequestRelease:
     """Ask proxies to release their permission for terms below ``below``."""
 
     proxies: frozenset[str]
@@ -151,14 +151,14 @@
 
 
 @attrs.frozen
-class Announce:
+class AnnounceRow:
     """Send a row to this proxy's group machine and to all peers."""
 
     row: _row.GroupRow
 
 
 @attrs.frozen
-class Note:
+class WriteLog:
     """Write a log event; ``detail`` is a sentence for operators."""
 
     event: str
@@ -169,9 +169,9 @@
     ReadRow
     | WriteRow
     | RunControl
-    | RecallControls
+    | CancelControls
     | ListHolders
-    | AskGiveUp
-    | Announce
-    | Note
+    | RequestRelease
+    | AnnounceRow
+    | WriteLog
 )
--- a/src/tidegrade/core/_writes.py
+++ b/src/tidegrade/core/_writes.py
@@ -197,7 +197,7 @@
             position=position,
             endpoint=row.primary,
             replayed=pending.replayed,
-            acknowledge_until=state.permission.valid_until(),
+            acknowledge_until=state.permission.expires_at(),
         )
         self._registry.answer(pending, answer)
         return False
--- a/src/tidegrade/daemon/_group_task.py
+++ b/src/tidegrade/daemon/_group_task.py
@@ -111,10 +111,10 @@
             supervision.WriteRow: self._rows.order,
             supervision.ListHolders: self._rows.order,
             supervision.RunControl: self._run_control,
-            supervision.RecallControls: self._recall_controls,
-            supervision.AskGiveUp: self._ask_give_up,
-            supervision.Announce: self._announce,
-            supervision.Note: self._note,
+            supervision.CancelControls: self._recall_controls,
+            supervision.RequestRelease: self._ask_give_up,
+            supervision.AnnounceRow: self._announce,
+            supervision.WriteLog: self._note,
         }
 
     # Messages from other tasks --------------------------------------------
@@ -237,7 +237,7 @@
             seconds=round(seconds, 3),
         )
         self._handle(core.Paused(seconds))
-        self._handle(supervision.Woke())
+        self._handle(supervision.ProcessResumed())
 
     def _longest_tick(self) -> float:
         if self.machine.in_use() or not self._watching():
@@ -452,14 +452,14 @@
             )
         )
 
-    def _recall_controls(self, _: supervision.RecallControls) -> None:
+    def _recall_controls(self, _: supervision.CancelControls) -> None:
         self._handle(core.ControlsRecalled())
 
-    def _ask_give_up(self, order: supervision.AskGiveUp) -> None:
+    def _ask_give_up(self, order: supervision.RequestRelease) -> None:
         for proxy in order.proxies:
             if proxy == self._deps.proxy_id:
                 self.give_up(order.below)
-                self.post(supervision.GaveUp(proxy, order.below))
+                self.post(supervision.PermissionReleased(proxy, order.below))
                 continue
             assert self._tasks is not None
             self._tasks.start_soon(self._ask_peer, proxy, order.below)
@@ -468,15 +468,17 @@
         question = messages.GiveUp(self.key, below)
         answer = await self._peers.ask(proxy, question)
         if isinstance(answer, messages.GaveUp):
-            self.post(supervision.GaveUp(answer.proxy, answer.below))
+            self.post(
+                supervision.PermissionReleased(answer.proxy, answer.below)
+            )
 
-    def _announce(self, order: supervision.Announce) -> None:
+    def _announce(self, order: supervision.AnnounceRow) -> None:
         self.post(core.RowSeen(order.row))
         self._peers.announce(
             messages.RowNews(self.key, _rows.encode_row(order.row))
         )
 
-    def _note(self, order: supervision.Note) -> None:
+    def _note(self, order: supervision.WriteLog) -> None:
         logs.write(
             _NOTES[order.event], group=str(self.key), detail=order.detail
         )
--- a/src/tidegrade/daemon/_row_task.py
+++ b/src/tidegrade/daemon/_row_task.py
@@ -131,7 +131,7 @@
     async def _read_for_supervisor(self) -> None:
         answer = await self._keeper.read()
         if answer.is_err():
-            self._post(supervision.RowLost())
+            self._post(supervision.RowRequestFailed())
             return
         found = answer.unwrap()
         if found is None:
@@ -140,7 +140,7 @@
             return
         row = _rows.decode_row(found.value)
         if row.is_err():
-            self._post(supervision.RowLost())
+            self._post(supervision.RowRequestFailed())
             return
         self._post(
             supervision.RowRead(row.unwrap(), found.tag, found.generation)
@@ -155,7 +155,7 @@
         elif written.unwrap_err() is ports.WriteProblem.UNKNOWN:
             await self._settle(order)
         else:
-            self._post(supervision.RowLost(conflict=True))
+            self._post(supervision.RowRequestFailed(conflict=True))
             self.fetch()
 
     async def _settle(self, order: supervision.WriteRow) -> None:
@@ -170,12 +170,12 @@
                 self._post(supervision.RowWritten(row, tag))
                 return
             break
-        self._post(supervision.RowLost())
+        self._post(supervision.RowRequestFailed())
 
     async def _list_holders(self) -> None:
         listed = await self._table.scan(_rows.HOLDERS)
         if listed.is_err():
-            self._post(supervision.RowLost())
+            self._post(supervision.RowRequestFailed())
             return
         holders = map(_holder, listed.unwrap().items())
         self._post(supervision.HoldersListed(frozenset(holders)))
--- a/src/tidegrade/http_proxy/_config_task.py
+++ b/src/tidegrade/http_proxy/_config_task.py
@@ -86,7 +86,7 @@
     def heard(self, version: int) -> None:
         """Take in the version that a peer has in force."""
         ref = core.ConfigRef(version, '')
-        if self._adoption.heard(ref):
+        if self._adoption.record_ref(ref):
             self._heard.set()
 
     def offer(self, ref: core.ConfigRef, raw: bytes) -> bool:
@@ -139,13 +139,13 @@
             return
         pointer = read.unwrap()
         self._note_stored(pointer.ref)
-        if self._adoption.heard(pointer.ref):
+        if self._adoption.record_ref(pointer.ref):
             self._heard.set()
 
     def _note_stored(self, ref: core.ConfigRef | None) -> None:
-        before = self._adoption.went_back
-        self._adoption.stored(ref)
-        if self._adoption.went_back == before + 1 and before == 0:
+        before = self._adoption.store_regressions
+        self._adoption.check_stored(ref)
+        if self._adoption.store_regressions == before + 1 and before == 0:
             logs.write(
                 logs.LogEvent.CONFIG_WENT_BACK,
                 shown=ref.version if ref else 0,
--- a/src/tidegrade/session_proxy/_proxy.py
+++ b/src/tidegrade/session_proxy/_proxy.py
@@ -286,9 +286,9 @@
             ):
                 self._isolation_changed(permitted)
             self._outside.door.close_refused(
-                self._isolation.refused_should_go(now)
+                self._isolation.should_close_refused(now)
             )
-            all_go = self._isolation.all_should_go(now)
+            all_go = self._isolation.should_close_idle(now)
             self._outside.door.close_answered(all_go or self._ending.closing)
             if all_go:
                 self._outside.door.close_resting()
@@ -304,7 +304,7 @@
         logs.write(
             logs.LogEvent.CUT_OFF if cut_off else logs.LogEvent.IN_TOUCH,
             silence_ms=round(self._isolation.silence * 1000),
-            usual_ms=round(self._isolation.usual_silence * 1000),
+            usual_ms=round(self._isolation.silence_limit_s * 1000),
             permitted=permitted,
         )
         for group in self._groups.values():
--- a/standins/tidegrade_fakes/_world.py
+++ b/standins/tidegrade_fakes/_world.py
@@ -150,7 +150,7 @@
         settings = core.MachineSettings(name, domain, max_proxies, traits)
         self.machine = core.GroupMachine(cfg, settings, rng)
         self.supervisor = core.Supervisor('g', name, rng, traits)
-        self.notes: list[supervision.Note] = []
+        self.notes: list[supervision.WriteLog] = []
         self._conns: dict[int, _Sent] = {}
         self._answers: dict[int, Callable[[core.Answer], None]] = {}
         self._heard: dict[str, tuple[float, core.Opinion]] = {}
@@ -166,10 +166,10 @@
             supervision.WriteRow: self._write_row,
             supervision.ListHolders: self._list_holders,
             supervision.RunControl: self._run_control,
-            supervision.RecallControls: self._recall_controls,
-            supervision.AskGiveUp: self._ask_give_up,
-            supervision.Announce: self._announce,
-            supervision.Note: self.notes.append,
+            supervision.CancelControls: self._recall_controls,
+            supervision.RequestRelease: self._ask_give_up,
+            supervision.AnnounceRow: self._announce,
+            supervision.WriteLog: self.notes.append,
         }
         self._register()
         self._tick()
@@ -194,7 +194,7 @@
             # The daemon tells the machines of every pause; the histories
             # of PostgreSQL's endpoints prove that safety needs none.
             self.handle(core.Paused(seconds))
-            self.handle(supervision.Woke())
+            self.handle(supervision.ProcessResumed())
         backlog, self._backlog = self._backlog, []
         for action in backlog:
             self.do(action)
@@ -456,17 +456,17 @@
         """Take in a heartbeat."""
         self._heard[opinion.proxy] = (self.world.now, opinion)
 
-    def _announce(self, order: supervision.Announce) -> None:
+    def _announce(self, order: supervision.AnnounceRow) -> None:
         event = core.RowSeen(order.row)
         self.world.at(0.0, lambda: self.do(lambda: self.handle(event)))
         for peer in self._peers():
             self._tell(peer, functools.partial(peer.handle, event))
 
-    def _recall_controls(self, _: supervision.RecallControls) -> None:
+    def _recall_controls(self, _: supervision.CancelControls) -> None:
         event = core.ControlsRecalled()
         self.world.at(0.0, lambda: self.do(lambda: self.handle(event)))
 
-    def _ask_give_up(self, order: supervision.AskGiveUp) -> None:
+    def _ask_give_up(self, order: supervision.RequestRelease) -> None:
         if not self.world.revocation:
             return
         for name in order.proxies:
@@ -488,7 +488,7 @@
         self._tell(asker, functools.partial(asker._gave_up, self.name, below))
 
     def _gave_up(self, name: str, below: int) -> None:
-        event = supervision.GaveUp(name, below)
+        event = supervision.PermissionReleased(name, below)
         self.world.at(0.0, lambda: self.do(lambda: self.handle(event)))
 
     # The table ------------------------------------------------------------
@@ -561,7 +561,7 @@
             self.handle(core.RowSeen(row, asked_at))
 
     def _lost(self) -> None:
-        self.handle(supervision.RowLost())
+        self.handle(supervision.RowRequestFailed())
 
     def _read_row(self, order: supervision.ReadRow) -> None:
         table = self.world.table
--- a/tests/core/test_failover.py
+++ b/tests/core/test_failover.py
@@ -91,7 +91,7 @@
     return Harness()
 
 
-def test_no_first_row_is_made_before_others_could_be_heard(harness):
+def test_no_first_row_is_written_before_peers_are_known(harness):
     """Proxies that start together must not all write the first row.
 
     Of 195 proxies that started together, 97 made a useless write of each row.
@@ -146,7 +146,7 @@
     harness.claim()
     harness.fence('b', 'c')
     harness.tell(supervision.HoldersListed(frozenset({'p9'})))
-    harness.tell(supervision.GaveUp('p9', 2))
+    harness.tell(supervision.PermissionReleased('p9', 2))
     assert harness.supervisor.step is core.Step.CHOOSE
 
 
@@ -242,7 +242,7 @@
         frozenset(NAMES),
         attempt=core.Attempt('x', 'p1', next_term=2),
     )
-    harness.tell(supervision.RowLost())
+    harness.tell(supervision.RowRequestFailed())
     harness.now += 1.0
     harness.row = claimed
     harness.observe()
@@ -279,13 +279,13 @@
     assert harness.take(supervision.ReadRow)
 
 
-def test_who_reaches_no_majority_does_not_begin(harness):
+def test_no_attempt_begins_without_a_reachable_majority(harness):
     """A proxy in an isolated zone must not replace a healthy primary."""
     harness.observe(reachable=frozenset({'b'}))
     assert harness.take(supervision.ReadRow) == []
 
 
-def test_after_a_cut_the_primary_gets_time_to_answer(harness):
+def test_no_attempt_begins_right_after_a_partition(harness):
     """As a partition ends, the primary may be the last endpoint to answer.
 
     Two healthy primaries were replaced at the end of a partition.
@@ -301,14 +301,14 @@
     assert harness.take(supervision.ReadRow)
 
 
-def test_nothing_begins_right_after_a_pause(harness):
+def test_no_attempt_begins_right_after_a_process_pause(harness):
     """After a pause of this process, a healthy primary seems to be down.
 
     Soak seed 210: a healthy primary was replaced.
     """
     harness.observe(down=False)
     harness.now += 5.0
-    harness.tell(supervision.Woke())
+    harness.tell(supervision.ProcessResumed())
     harness.observe()
     harness.now += 1.0
     harness.observe()
@@ -358,18 +358,18 @@
 
 def test_an_abandoned_attempt_cancels_its_jobs(superseded):
     superseded.observe(down=False)
-    assert superseded.take(supervision.RecallControls)
+    assert superseded.take(supervision.CancelControls)
 
 
 def test_an_attempt_is_not_superseded_by_its_own_row(harness):
     harness.claim()
-    (claimed,) = (c.row for c in harness.take(supervision.Announce)[-1:])
+    (claimed,) = (c.row for c in harness.take(supervision.AnnounceRow)[-1:])
     harness.row = claimed
     harness.observe()
     assert harness.supervisor.step is core.Step.FENCE
 
 
-def test_an_attempt_that_a_new_proxy_meets_is_given_time(harness):
+def test_a_new_proxy_waits_before_taking_over_an_attempt(harness):
     """The age of an attempt in the first row that a proxy sees is unknown.
 
     In the run described at `superseded`, a proxy that had just started
@@ -398,11 +398,11 @@
     harness.observe()
     harness.tell(supervision.RowRead(harness.row, '1', generation=2))
     (order,) = harness.take(supervision.WriteRow)
-    assert order.row.attempt.next_term > 2 * core.TERMS_A_GENERATION
+    assert order.row.attempt.next_term > 2 * core.TERMS_PER_GENERATION
 
 
 def test_terms_count_up_within_a_generation(harness):
-    term = 2 * core.TERMS_A_GENERATION + 7
+    term = 2 * core.TERMS_PER_GENERATION + 7
     harness.row = core.GroupRow(term, 'a', frozenset(NAMES), log_term=3)
     harness.observe()
     harness.tell(supervision.RowRead(harness.row, '1', generation=2))
@@ -436,7 +436,7 @@
 
 
 def test_a_later_change_in_a_generation_trusts_the_list(harness):
-    term = 2 * core.TERMS_A_GENERATION + 1
+    term = 2 * core.TERMS_PER_GENERATION + 1
     harness.row = core.GroupRow(term, 'a', frozenset(NAMES), log_term=1)
     fence_all(harness, claim_in_generation(harness, generation=2))
     assert harness.supervisor.step is core.Step.CHOOSE
@@ -449,5 +449,5 @@
     (control,) = harness.take(supervision.RunControl)
     harness.end(control, core.JobDone(report(marker=3, replica=False)))
     (order,) = harness.take(supervision.WriteRow)
-    assert order.row.term == 2 * core.TERMS_A_GENERATION + 1
+    assert order.row.term == 2 * core.TERMS_PER_GENERATION + 1
     assert order.row.marker == 3
--- a/tests/core/test_isolation.py
+++ b/tests/core/test_isolation.py
@@ -16,14 +16,14 @@
         isolation.observe(heard_at, now < permitted_until, now)
         if isolation.cut_off:
             held_at['cut'].append(now)
-        if isolation.refused_should_go(now):
+        if isolation.should_close_refused(now):
             held_at['refused'].append(now)
-        if isolation.all_should_go(now):
+        if isolation.should_close_idle(now):
             held_at['all'].append(now)
     return held_at
 
 
-def test_a_cut_is_told_to_the_balancer_within_two_heartbeats():
+def test_isolation_is_detected_within_two_heartbeats():
     """A slow detection keeps callers on proxies that refuse them.
 
     Detection at 0.9 s kept callers until 3.1 s.
@@ -46,7 +46,7 @@
     assert not held_at['all']
 
 
-def test_pauses_of_relays_are_no_cut():
+def test_heartbeats_through_relays_do_not_count_as_isolation():
     """Heartbeats through relays are up to a second old.
 
     With 71 proxies, connected domains counted as isolated a hundred times.
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -34,7 +34,7 @@
     return supervision.Observed(**fields)
 
 
-def test_who_leaves_gives_its_vote_to_who_came():
+def test_a_leaving_member_is_replaced_by_a_new_one():
     observation = observed('abcd', leaving=frozenset('c'))
     assert _membership.next_members(observation) == frozenset('abd')
 
@@ -46,7 +46,7 @@
     assert _membership.next_members(observation) == frozenset('acd')
 
 
-def test_a_vote_is_kept_while_nobody_takes_it_over():
+def test_a_member_keeps_its_vote_until_it_is_replaced():
     assert _membership.next_members(
         observed('abc', leaving=frozenset('c'))
     ) == frozenset('abc')
@@ -76,7 +76,7 @@
     return returned
 
 
-def test_a_replaced_replica_ends_the_term_once_that_is_settled(watch):
+def test_a_lasting_replacement_ends_the_term(watch):
     """A departed member that keeps its vote weakens the majority.
 
     Two of four voters were in one domain when it was isolated.
--- a/tests/core/test_permission.py
+++ b/tests/core/test_permission.py
@@ -91,17 +91,17 @@
     assert not held.held(fenced_at + _permission.PERMISSION_WAIT)
 
 
-def test_nobody_else_could_lead_only_until_it_is_given_up():
+def test_exclusivity_ends_when_the_permission_is_released():
     """Later reads on the former primary may lack acknowledged writes."""
     held = permission()
     held.answered('a', 0, 10.0)
     held.answered('b', 0, 10.0)
-    assert held.covered_until() == 11.0
+    assert held.exclusive_until() == 11.0
     held.give_up(2, 10.3)
-    assert held.covered_until() == 10.3
+    assert held.exclusive_until() == 10.3
     held.give_up(2, 10.6)
-    assert held.covered_until() == 10.3
+    assert held.exclusive_until() == 10.3
     held.start_term(2, _permission.PermissionRules(frozenset(MEMBERS)))
     held.answered('a', 2, 10.5)
     held.answered('b', 2, 10.5)
-    assert held.covered_until() == 11.5
+    assert held.exclusive_until() == 11.5
--- a/tests/core/test_outlook.py
+++ b/tests/core/test_recovery.py
@@ -5,7 +5,7 @@
 import machines
 
 from tidegrade import core
-from tidegrade.core import _outlook
+from tidegrade.core import _recovery
 
 #: Time, in seconds, that a statement of an urgent route may wait for a slot.
 PLACE_WITHIN_S = 0.6
@@ -34,7 +34,7 @@
     send_read(checking, 1)
     answer = checking.answers[1]
     assert answer.outcome is core.Outcome.NOT_RUN
-    assert answer.retry_after >= _outlook.MIN_RETRY_AFTER_S
+    assert answer.retry_after >= _recovery.MIN_RETRY_AFTER_S
 
 
 def test_a_request_waits_early_in_an_outage(checking):
@@ -68,7 +68,7 @@
     checking.tell(core.RowSeen(row))
     send_read(checking, 1)
     assert checking.answers[1].outcome is core.Outcome.NOT_RUN
-    shortly_before_the_end = _outlook.INITIAL_CHANGE_S - PLACE_WITHIN_S / 2
+    shortly_before_the_end = _recovery.INITIAL_CHANGE_S - PLACE_WITHIN_S / 2
     checking.tick(shortly_before_the_end)
     send_read(checking, 2)
     assert 2 not in checking.answers
@@ -96,21 +96,21 @@
 
 
 def test_the_mean_length_of_changes_is_updated():
-    estimate = _outlook.Outlook()
+    estimate = _recovery.RecoveryEstimate()
     for start in range(0, 100, 10):
-        estimate.change_seen(start)
-        estimate.change_over(start + 0.5)
+        estimate.change_began(start)
+        estimate.change_ended(start + 0.5)
     assert 0.5 <= estimate.mean_change_s < 0.6
-    estimate.change_seen(200)
-    assert estimate.expected_at(200.1) < 200.7
+    estimate.change_began(200)
+    assert estimate.recovery_expected_at(200.1) < 200.7
 
 
 def test_urgent_callers_retry_first_and_spread_out():
-    estimate = _outlook.Outlook()
+    estimate = _recovery.RecoveryEstimate()
     estimate.observe(True, 10.0)
     rng = random.Random(1)
-    urgent = [estimate.return_after(0, 11.0, rng) for _ in range(50)]
-    others = [estimate.return_after(2, 11.0, rng) for _ in range(50)]
+    urgent = [estimate.retry_after_s(0, 11.0, rng) for _ in range(50)]
+    others = [estimate.retry_after_s(2, 11.0, rng) for _ in range(50)]
     assert max(urgent) < min(others)
     assert max(urgent) - min(urgent) > 0.3
     assert min(urgent) >= 1.0
--- a/tests/core/test_setup.py
+++ b/tests/core/test_setup.py
@@ -29,7 +29,7 @@
     assert again == core.SessionSetup(values=(('b', '3'),))
 
 
-def test_a_foreign_value_is_reset(conn):
+def test_a_value_of_another_session_is_reset(conn):
     _setup.setup_for(conn, request(a='1'), ())
     other = _setup.setup_for(conn, request(b='2'), ())
     assert other == core.SessionSetup(True, (('b', '2'),))
