--- a/src/tidegrade/core/_needs.py
+++ b/src/tidegrade/core/_needs.py
@@ -133,7 +133,7 @@
             # another endpoint may already be the primary.
             return None
         sample = self._state.samples.since(at)
-        covered = self._state.permission.covered_until()
+        covered = self._state.permission.exclusive_until()
         if sample is None or sample.at > covered:
             return None
         return sample
