--- a/src/tidegrade/sessions/__init__.py
+++ b/src/tidegrade/sessions/__init__.py
@@ -1,4 +1,4 @@
-"""Sessions over a connection: values, prepared names, transactions."""
+"""Sessions over a connection: values, prepared statements, transactions."""
 
 from tidegrade.sessions._access import Access
 from tidegrade.sessions._access import access_to
--- a/src/tidegrade/sessions/_access.py
+++ b/src/tidegrade/sessions/_access.py
@@ -1,4 +1,4 @@
-"""Who may use which database, by one version of the configuration."""
+"""Access of callers to databases under one configuration version."""
 
 import attrs
 import result
@@ -10,10 +10,10 @@
 
 @attrs.frozen
 class Access:
-    """A caller's way to a database.
+    """The access of a caller to a database.
 
-    ``tenant`` is whose key the caller has presented. It is None on a public
-    route without a known key, and where no tenants are configured at all.
+    ``tenant`` holds the key that the caller presented. It is None on a public
+    route without a known key, and if the configuration has no tenants.
     """
 
     route: _routes.DatabaseRoute
@@ -21,25 +21,27 @@
 
     @property
     def tenant_name(self) -> str:
-        """Give the tenant's name; empty if there is none."""
+        """The tenant's name; empty if there is none."""
         return self.tenant.name if self.tenant is not None else ''
 
 
-#: What a newer configuration may bring.
-_MAY_COME = frozenset({core.Code.NOT_FOUND, core.Code.UNAUTHORIZED})
+#: Refusals that a newer configuration may lift.
+_LIFTED_BY_NEWER_CONFIG = frozenset(
+    {core.Code.NOT_FOUND, core.Code.UNAUTHORIZED}
+)
 
 
 def refusal(
     code: core.Code, config_age: float | None, within: float
 ) -> core.Code:
-    """Give why there is no way to a database, as far as that is known.
+    """Return the code with which to refuse access to a database.
 
-    ``config_age`` is how long ago the configuration was known to be the
-    newest (None: not known), and ``within`` the time in which an accepted one
-    must be in force, both in seconds. By one that may be older nobody is told
-    that a route or a key does not exist.
+    ``config_age`` is the time since the configuration was last known to be
+    the newest (None: not known), and ``within`` the time within which an
+    accepted one must be in force, both in seconds. A proxy whose
+    configuration may be stale never reports a route or a key as missing.
     """
-    if code not in _MAY_COME:
+    if code not in _LIFTED_BY_NEWER_CONFIG:
         return code
     if config_age is None or config_age > within:
         return core.Code.NO_CONFIG
@@ -51,7 +53,7 @@
     database: str,
     caller: tenants.Caller,
 ) -> result.Result[Access, core.Code]:
-    """Give a caller's way to a database, or why there is none."""
+    """Return the access of a caller to a database, or a refusal code."""
     if catalogue is None:
         return result.Err(core.Code.NO_CONFIG)
     route = catalogue.routes.get(database)
--- a/src/tidegrade/sessions/_commands.py
+++ b/src/tidegrade/sessions/_commands.py
@@ -1,7 +1,7 @@
-"""What a caller asks of its session, one command at a time.
+"""The commands that a caller sends to its session.
 
-``id`` is the caller's own name of the request; endpoints sign it together
-with what they ran, so it travels with the statement.
+``id`` is the caller's request id. Endpoints sign it together with the
+statement that they ran, so it is sent to them with the statement.
 """
 
 import attrs
@@ -19,7 +19,7 @@
 
 @attrs.frozen
 class Commit:
-    """Commit the transaction; ``text`` is passed on as it came."""
+    """Commit the transaction; ``text`` is passed on unchanged."""
 
     id: str
     text: str
@@ -34,7 +34,7 @@
 
 @attrs.frozen
 class Run:
-    """Run a statement; ``writes`` says that it changes data."""
+    """Run a statement; ``writes`` is true if it changes data."""
 
     id: str
     text: str
@@ -43,7 +43,7 @@
 
 @attrs.frozen
 class SetValue:
-    """Set a value of the session, in force until it ends."""
+    """Set a session value that holds until the session ends."""
 
     id: str
     name: str
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class Prepare:
-    """Give a statement shape a name within the session."""
+    """Prepare a statement under a name that is local to the session."""
 
     id: str
     name: str
@@ -61,7 +61,7 @@
 
 @attrs.frozen
 class Execute:
-    """Run a prepared statement; ``arguments`` are passed on unread."""
+    """Run a prepared statement; ``arguments`` are passed on unparsed."""
 
     id: str
     name: str
@@ -70,7 +70,7 @@
 
 @attrs.frozen
 class Deallocate:
-    """Forget a prepared name."""
+    """Remove the name of a prepared statement."""
 
     id: str
     name: str
--- a/src/tidegrade/sessions/_deps.py
+++ b/src/tidegrade/sessions/_deps.py
@@ -1,4 +1,4 @@
-"""What a session needs of its program, and what it tells of itself."""
+"""Dependencies of a session, and its replies and records."""
 
 from collections.abc import Callable
 import enum
@@ -14,68 +14,69 @@
 
 
 class SessionState(enum.Enum):
-    """Where a session stands after an answer."""
+    """The transaction state of a session after a reply."""
 
     IDLE = 'idle'
     #: In a transaction.
     OPEN = 'open'
-    #: The transaction failed; only its end is accepted.
+    #: The transaction failed; only commit and rollback are accepted.
     FAILED = 'failed'
 
 
 @attrs.frozen
 class Reply:
-    """The one answer to a command, and the state that follows."""
+    """The answer to a command, and the session state after it."""
 
     answer: core.Answer
     state: SessionState
 
 
 class GroupAccess(typing.Protocol):
-    """What a session needs of the group that serves it."""
+    """The interface of a group that serves a session."""
 
     async def request(self, req: core.Request) -> core.Answer:
-        """Have a request served and wait for its one answer."""
+        """Serve a request and return its answer."""
 
     def post(self, event: core.Event) -> None:
-        """Have an event handled; nobody waits for its outcome."""
+        """Queue an event without waiting for its result."""
 
     def final(self, answer: core.Answer) -> core.Answer:
-        """Give the answer that is true at this very moment."""
+        """Return the answer after a check that the group may acknowledge."""
 
 
 class QuotaAccess(typing.Protocol):
-    """What a session needs of the quotas of tenants."""
+    """The interface of tenant quotas that a session uses."""
 
     async def admit(
         self, tenant: tenants.Tenant, patience: float
     ) -> core.Admission:
-        """Have an operation granted that can wait ``patience`` seconds."""
+        """Request a grant for an operation; wait up to ``patience`` s."""
 
     def give_back(self, name: str, admission: core.Admission) -> None:
-        """Give back a grant whose operation reached no endpoint."""
+        """Return a grant whose operation reached no endpoint."""
 
 
 class Unlimited:
-    """Grants every operation, where there are no quotas."""
+    """Quota access that grants every operation."""
 
     async def admit(
         self, tenant: tenants.Tenant, patience: float
     ) -> core.Admission:
-        """Grant an operation."""
+        """Return a grant without a wait."""
         return core.Admission(True)
 
     def give_back(self, name: str, admission: core.Admission) -> None:
-        """Do nothing: nothing was taken."""
+        """Do nothing, since no quota was used."""
 
 
 @attrs.frozen
 class SessionDeps:
-    """What sessions get from the program that serves them.
+    """Functions and services that a program provides to its sessions.
 
-    ``access_of`` gives a caller's way to a database by the configuration in
-    force, ``group_of`` the group by its name, ``next_number`` a new number
-    for a request.
+    ``access_of`` returns the access of a caller to a database under the
+    configuration in force, ``group_of`` a group by its name, and
+    ``next_number`` a new request number. ``now`` returns seconds. ``note``
+    receives the record of each command.
     """
 
     access_of: Callable[
@@ -90,10 +91,11 @@
 
 @attrs.frozen
 class Account:
-    """One command of a session and what came of it, for log and metrics.
+    """The record of one command of a session, for log and metrics.
 
-    ``caller`` is the label of who asked, ``tenant`` the name of whose key it
-    was. ``took`` is in seconds from the command to its answer.
+    ``caller`` is the label of the caller, ``tenant`` the name of the tenant
+    that holds its key. ``took`` is the time from the command to its answer,
+    in seconds.
     """
 
     database: str
--- a/src/tidegrade/sessions/_operations.py
+++ b/src/tidegrade/sessions/_operations.py
@@ -1,4 +1,4 @@
-"""Operations that start: who asks, whether it may, and who granted it."""
+"""Access and quota checks at the start of each operation."""
 
 import math
 
@@ -11,18 +11,21 @@
 from tidegrade.sessions import _deps
 from tidegrade import tenants
 
-#: How long a transaction whose key is withdrawn may go on from its begin, in
-#: seconds: most end sooner, and it is less than the time within which a
-#: configuration must be in force.
-WITHDRAWN_GRACE = 2.0
-#: Part of the aimed latency that an operation waits for its quota; beyond it
-#: the caller is told when to come back.
+#: How long after its begin a transaction may continue although its key was
+#: withdrawn, in seconds. Most transactions end sooner, and it is less than the
+#: time within which a configuration must be in force.
+WITHDRAWN_KEY_GRACE_S = 2.0
+#: Fraction of the target latency that an operation may wait for its quota. A
+#: caller that would have to wait longer is refused with a retry time.
 QUOTA_WAIT_SHARE = 0.4
 
 
 @attrs.frozen
 class Start:
-    """An operation that may start; ``admission`` if it had to be granted."""
+    """An operation that may start.
+
+    ``admission`` is the quota grant; None if no quota limits the tenant.
+    """
 
     access: _access.Access
     group: _deps.GroupAccess
@@ -30,14 +33,14 @@
 
 
 def refused(code: core.Code, detail: str) -> core.Answer:
-    """Give the answer to what was not run."""
+    """Return the answer to a command that was not run."""
     return core.Answer(core.Outcome.NOT_RUN, code=code, detail=detail)
 
 
 def no_access(code: core.Code, database: str = '') -> core.Answer:
-    """Say why a caller may not use a database."""
+    """Return the refusal of a caller that may not use a database."""
     if code is core.Code.UNAUTHORIZED:
-        return refused(code, 'the key is not known, or was withdrawn')
+        return refused(code, 'the key is unknown or was withdrawn')
     return refused(code, database)
 
 
@@ -53,14 +56,15 @@
         self._database = database
         self._caller = caller
         self._deps = deps
-        #: Whose key it was when the last operation started.
+        #: Name of the tenant that held the key at the last operation start.
         self.tenant = ''
 
     async def start(self) -> result.Result[Start, core.Answer]:
-        """Find who asks, and the group, for an operation that starts.
+        """Return the access and the group of an operation, or a refusal.
 
-        The key is looked up each time: it may have been withdrawn since the
-        session was opened, or while the operation waited for its quota.
+        The key is looked up at each start and again after a wait for quota:
+        it may have been withdrawn since the session was opened, or during
+        the wait.
         """
         start = self._find()
         if start.is_err():
@@ -69,8 +73,8 @@
         if tenant is None or math.isinf(tenant.rate):
             return start
         route = start.unwrap().access.route
-        patience = route.target_latency * QUOTA_WAIT_SHARE
-        admission = await self._deps.quotas.admit(tenant, patience)
+        max_wait = route.target_latency * QUOTA_WAIT_SHARE
+        admission = await self._deps.quotas.admit(tenant, max_wait)
         if not admission.granted:
             return result.Err(_over_quota(admission))
         if admission.wait:
@@ -82,7 +86,7 @@
         return result.Ok(attrs.evolve(granted.unwrap(), admission=admission))
 
     def settle(self, start: Start, answer: core.Answer) -> None:
-        """Give a grant back if its operation reached no endpoint."""
+        """Return a quota grant if its operation reached no endpoint."""
         admission = start.admission
         if admission is None or answer.outcome is not core.Outcome.NOT_RUN:
             return
@@ -90,12 +94,13 @@
             name = start.access.tenant_name
             self._deps.quotas.give_back(name, admission)
 
-    def key_is_gone(self, began: float) -> bool:
-        """Tell whether the key of a transaction was withdrawn some time ago.
+    def is_key_withdrawn(self, began_at: float) -> bool:
+        """Return whether a transaction must end because its key is withdrawn.
 
-        One that had just begun then is let end.
+        A transaction may continue for ``WITHDRAWN_KEY_GRACE_S`` seconds from
+        its begin.
         """
-        if self._deps.now() - began < WITHDRAWN_GRACE:
+        if self._deps.now() - began_at < WITHDRAWN_KEY_GRACE_S:
             return False
         found = self._deps.access_of(self._database, self._caller)
         return found.err() is core.Code.UNAUTHORIZED
@@ -109,18 +114,21 @@
         group = self._deps.group_of(access.route.group)
         if group is None:
             return result.Err(
-                refused(core.Code.NO_PRIMARY, 'its group is not known yet')
+                refused(
+                    core.Code.NO_PRIMARY,
+                    'the group of the database is not known yet',
+                )
             )
         return result.Ok(Start(access, group))
 
 
 def _over_quota(admission: core.Admission) -> core.Answer:
-    """Refuse an operation, and say when the next one would be granted."""
-    detail = "no keeper of the tenant's quota answered"
+    """Return the refusal of an operation over quota, with a retry time."""
+    detail = "no proxy that manages the tenant's quota answered"
     if admission.keeper:
         detail = (
-            f'the tenant is over its quota, by {admission.keeper}, which '
-            f'sees {admission.part:.0%} of the proxies'
+            f'the tenant is over its quota according to {admission.keeper}, '
+            f'which sees {admission.part:.0%} of the proxies'
         )
     return core.Answer(
         core.Outcome.NOT_RUN,
--- a/src/tidegrade/sessions/_routes.py
+++ b/src/tidegrade/sessions/_routes.py
@@ -1,4 +1,4 @@
-"""Which group serves a database name, and how old its reads may be."""
+"""Database routes, groups and limits of a configuration version."""
 
 import attrs
 
@@ -7,12 +7,12 @@
 
 @attrs.frozen
 class DatabaseRoute:
-    """Where the sessions of one database name go.
+    """The route of the sessions of one database name.
 
     ``max_age`` bounds the staleness of reads in seconds; 0 means that the
-    primary answers. With ``own_writes`` a session sees its own commits.
-    ``timeout`` limits one statement and ``target_latency`` is the aim for
-    a whole operation, both in seconds. ``priority`` 0 goes first. Callers
+    primary serves them. With ``own_writes`` a session reads its own commits.
+    ``timeout`` limits one statement and ``target_latency`` is the target for
+    a whole operation, both in seconds. ``priority`` 0 is the highest. Callers
     of a ``public`` route need no key.
     """
 
@@ -30,7 +30,8 @@
 class GroupEntry:
     """A group that the configuration names.
 
-    ``max_connections`` is the cap of each endpoint over all callers.
+    ``max_connections`` limits the connections to each endpoint, summed over
+    all callers.
     """
 
     name: str
@@ -41,8 +42,8 @@
 class Catalogue:
     """A version of the configuration: its routes, groups and limits.
 
-    A transaction that rests for ``txn_idle`` seconds may be ended. Where
-    there is no ``keyring`` (None), nobody needs a key.
+    A transaction that is idle for ``txn_idle`` seconds may be ended. If
+    ``keyring`` is None, no caller needs a key.
     """
 
     version: int
--- a/src/tidegrade/sessions/_session.py
+++ b/src/tidegrade/sessions/_session.py
@@ -1,7 +1,7 @@
 """One caller's session: its values, prepared names and transaction.
 
-The session keeps no endpoint connection between transactions. What it has
-set is replayed where its next statement runs.
+A session holds no endpoint connection between transactions. Its session
+values are sent with each request and set at the endpoint that serves it.
 """
 
 import typing
@@ -16,50 +16,51 @@
 from tidegrade.sessions import _routes
 from tidegrade import tenants
 
-#: Part of the aimed latency that a read waits for a replica, before the
+#: Fraction of the target latency that a read waits for a replica before the
 #: primary serves it.
 REPLICA_WAIT_SHARE = 0.1
-#: Part of a statement's time limit that it waits for an endpoint. Callers
-#: try up to three times within about three such limits; refused by then,
-#: the last try still ends before the caller gives up.
-PLACE_SHARE = 0.75
-#: Part of a statement's time limit that one endpoint gets for a read, so
-#: that there is time for another one after it.
+#: Fraction of a statement's timeout that it may wait for an endpoint. Callers
+#: make up to three attempts within about three timeouts; if each is refused by
+#: this share, the last attempt still ends before the caller gives up.
+PLACEMENT_SHARE = 0.75
+#: Fraction of a statement's timeout that one endpoint gets for a read, so
+#: that time remains to retry it at another endpoint.
 ATTEMPT_SHARE = 0.4
 
 
 _DONE = core.Answer(core.Outcome.DONE)
-_IN_FAILED = _operations.refused(
-    core.Code.BAD_REQUEST, 'the transaction failed; end it first'
+_TXN_FAILED = _operations.refused(
+    core.Code.BAD_REQUEST,
+    'the transaction has failed; commit or roll it back first',
 )
 
 
 @attrs.define
 class _Transaction:
-    """A transaction of the session.
+    """The open transaction of a session.
 
-    ``name`` is empty until its first statement has begun it at an
-    endpoint. ``began`` is when the caller asked for it.
+    ``name`` is empty until the first statement begins the transaction at an
+    endpoint. ``began_at`` is the time of the caller's begin command.
     """
 
     start: _operations.Start
     read_only: bool
-    began: float
+    began_at: float
     name: str = ''
 
     @property
     def access(self) -> _access.Access:
-        """Give whose transaction it is, and on which route."""
+        """The tenant and the route of the transaction."""
         return self.start.access
 
     @property
     def group(self) -> _deps.GroupAccess:
-        """Give the group that serves it."""
+        """The group that serves the transaction."""
         return self.start.group
 
 
 class Session:
-    """Carries out the commands of one caller, one after another."""
+    """Runs the commands of one caller sequentially."""
 
     def __init__(
         self, database: str, caller: tenants.Caller, deps: _deps.SessionDeps
@@ -86,7 +87,7 @@
 
     @property
     def state(self) -> _deps.SessionState:
-        """Give where the session stands."""
+        """The transaction state of the session."""
         if self._failed:
             return _deps.SessionState.FAILED
         return (
@@ -96,15 +97,15 @@
         )
 
     async def handle(self, command: _commands.Command) -> _deps.Reply:
-        """Carry out a command; every outcome is an answer."""
+        """Run a command and return its reply; failures are replies too."""
         ending = (_commands.Commit, _commands.Rollback)
         if self._failed and not isinstance(command, ending):
-            # The failure itself has been noted.
-            return _deps.Reply(_IN_FAILED, self.state)
-        began = self._deps.now()
+            # The failed statement has been recorded already.
+            return _deps.Reply(_TXN_FAILED, self.state)
+        began_at = self._deps.now()
         answer = await self._handlers[type(command)](command)
         reply = _deps.Reply(answer, self.state)
-        took = self._deps.now() - began
+        took = self._deps.now() - began_at
         self._deps.note(
             _deps.Account(
                 self._database,
@@ -118,10 +119,10 @@
         return reply
 
     def close(self) -> None:
-        """End the session; an open transaction is rolled back."""
+        """End the session and roll back its open transaction."""
         txn, self._txn = self._txn, None
         if txn is not None:
-            self._undo(txn)
+            self._roll_back(txn)
 
     # Session state --------------------------------------------------------
 
@@ -168,14 +169,14 @@
         answer = await start.group.request(req)
         if writes:
             answer = start.group.final(answer)
-            self._saw(start.access.route, answer)
+            self._note_commit(start.access.route, answer)
         self._operations.settle(start, answer)
         return answer
 
     async def _in_transaction(
         self, txn: _Transaction, stmt: core.Statement
     ) -> core.Answer:
-        if self._operations.key_is_gone(txn.began):
+        if self._operations.is_key_withdrawn(txn.began_at):
             return self._after_statement(
                 _operations.no_access(core.Code.UNAUTHORIZED)
             )
@@ -197,7 +198,7 @@
         return self._after_statement(answer)
 
     def _after_statement(self, answer: core.Answer) -> core.Answer:
-        """Note that a statement's failure fails its transaction."""
+        """Mark the transaction as failed if a statement in it failed."""
         if self._txn is not None and answer.outcome is not core.Outcome.DONE:
             self._failed = True
         return answer
@@ -205,7 +206,7 @@
     # Transactions ---------------------------------------------------------
 
     async def _begin(self, command: _commands.Begin) -> core.Answer:
-        """Note the begin; it reaches an endpoint with the first statement."""
+        """Open a transaction; the first statement begins it at an endpoint."""
         if self._txn is not None:
             return _operations.refused(
                 core.Code.BAD_REQUEST, 'already in a transaction'
@@ -224,8 +225,8 @@
             return _operations.refused(
                 core.Code.BAD_REQUEST, 'not in a transaction'
             )
-        if self._failed or self._operations.key_is_gone(txn.began):
-            self._end()
+        if self._failed or self._operations.is_key_withdrawn(txn.began_at):
+            self._abort()
             return _operations.refused(
                 core.Code.TXN_UNKNOWN, 'the transaction was rolled back'
             )
@@ -241,11 +242,11 @@
         answer = await txn.group.request(req)
         if not txn.read_only:
             answer = txn.group.final(answer)
-        self._saw(txn.access.route, answer)
+        self._note_commit(txn.access.route, answer)
         return answer
 
     async def _begin_empty(self, txn: _Transaction) -> core.Answer:
-        """Begin a transaction that ends without a statement."""
+        """Begin a transaction that is committed without any statement."""
         req = self._request(
             core.Kind.BEGIN, txn.access, (), read_only=txn.read_only
         )
@@ -258,17 +259,17 @@
             return _operations.refused(
                 core.Code.BAD_REQUEST, 'not in a transaction'
             )
-        self._end()
+        self._abort()
         return _DONE
 
-    def _end(self) -> None:
-        """Leave the transaction and undo what it began."""
+    def _abort(self) -> None:
+        """End the transaction and roll it back at its endpoint."""
         txn, self._txn = self._txn, None
         self._failed = False
         assert txn is not None
-        self._undo(txn)
+        self._roll_back(txn)
 
-    def _undo(self, txn: _Transaction) -> None:
+    def _roll_back(self, txn: _Transaction) -> None:
         if txn.name:
             req = self._request(
                 core.Kind.ROLLBACK, txn.access, (), txn=txn.name
@@ -296,7 +297,7 @@
             caller=self._caller.label,
             kind=kind,
             deadline=now + route.timeout,
-            place_by=now + route.timeout * PLACE_SHARE,
+            place_by=now + route.timeout * PLACEMENT_SHARE,
             attempt_limit=route.timeout * ATTEMPT_SHARE,
             statements=statements,
             floor=floor,
@@ -310,7 +311,9 @@
             priority=route.priority,
         )
 
-    def _saw(self, route: _routes.DatabaseRoute, answer: core.Answer) -> None:
-        """Note the position of the session's own commit."""
+    def _note_commit(
+        self, route: _routes.DatabaseRoute, answer: core.Answer
+    ) -> None:
+        """Set the floor of later reads to the session's own commit."""
         if answer.outcome is core.Outcome.DONE and answer.position is not None:
             self._floors[route.group] = answer.position
--- a/tests/sessions/test_access.py
+++ b/tests/sessions/test_access.py
@@ -1,4 +1,4 @@
-"""What a caller is told who has no way to a database."""
+"""Refusals of callers that have no access to a database."""
 
 import pytest
 
@@ -10,16 +10,16 @@
 
 @pytest.mark.parametrize('code', [core.Code.NOT_FOUND, core.Code.UNAUTHORIZED])
 @pytest.mark.parametrize('age', [None, WITHIN + 0.1])
-def test_by_an_old_configuration_nothing_is_said_not_to_exist(code, age):
-    """A newer one may have brought the route or the key long ago."""
+def test_stale_configuration_does_not_report_anything_as_missing(code, age):
+    """A newer configuration may contain the route or the key."""
     assert sessions.refusal(code, age, WITHIN) is core.Code.NO_CONFIG
 
 
 @pytest.mark.parametrize('code', [core.Code.NOT_FOUND, core.Code.UNAUTHORIZED])
-def test_by_the_newest_configuration_it_is(code):
+def test_newest_configuration_reports_missing_routes_and_keys(code):
     assert sessions.refusal(code, WITHIN, WITHIN) is code
 
 
-def test_other_refusals_stay_as_they_are():
+def test_other_refusals_are_unchanged():
     code = core.Code.NO_CONFIG
     assert sessions.refusal(code, 0.0, WITHIN) is code
--- a/tests/sessions/test_groups.py
+++ b/tests/sessions/test_groups.py
@@ -18,8 +18,12 @@
     return _groups.GroupList(0.6, 0.3, settle=2.0)
 
 
-def test_no_first_primary_is_named_while_the_list_grows(listed):
-    """Found on a day: two of three voted, and one of the two crashed."""
+def test_first_primary_is_not_named_while_the_list_grows(listed):
+    """Guards against a first row that lacks a voting member.
+
+    If only two of three members vote and one of the two crashes, no majority
+    is left.
+    """
     listed.learn([LEADER], 10.0)
     assert listed.config_of(GROUP, CATALOGUE, 11.9).initial_primary == ''
     listed.learn([LEADER, REPLICA], 11.9)
@@ -29,7 +33,7 @@
     assert set(cfg.endpoints) == {'10.0.0.1:80', '10.0.0.2:80'}
 
 
-def test_an_endpoint_that_vanished_is_kept(listed):
+def test_endpoint_missing_from_the_list_is_kept(listed):
     listed.learn([LEADER, REPLICA], 10.0)
     listed.learn([LEADER], 11.0)
     cfg = listed.config_of(GROUP, CATALOGUE, 20.0)
@@ -42,7 +46,7 @@
     assert cfg.endpoints['10.0.0.9:80'].port == 80
 
 
-def test_of_two_at_one_address_the_one_that_stays_counts(listed):
+def test_entry_that_is_not_leaving_wins_at_a_shared_address(listed):
     leaving = attrs.evolve(LEADER, id='i0', leaving=True)
     listed.learn([leaving, LEADER], 10.0)
     assert listed.leaving('g') == frozenset()
@@ -50,7 +54,7 @@
     assert listed.leaving('g') == {'10.0.0.1:80'}
 
 
-def test_an_endpoint_is_gone_when_lists_have_lacked_it_for_long(listed):
+def test_endpoint_is_gone_after_a_long_absence_from_the_lists(listed):
     listed.learn([LEADER, REPLICA], 10.0)
     listed.learn([LEADER], 12.0)
     assert listed.gone('g') == frozenset()
@@ -60,7 +64,7 @@
     assert listed.gone('g') == frozenset()
 
 
-def test_no_list_at_all_makes_nobody_gone(listed):
+def test_no_endpoint_is_gone_without_a_new_list(listed):
     listed.learn([LEADER, REPLICA], 10.0)
     listed.learn_members('g', ['10.0.0.9:80'])
     assert listed.gone('g') == frozenset()
--- a/tests/sessions/test_session.py
+++ b/tests/sessions/test_session.py
@@ -1,4 +1,4 @@
-"""Sessions: what reaches the group, and what the caller is told."""
+"""Sessions: the requests to the group and the replies to the caller."""
 
 import attrs
 import pytest
@@ -14,7 +14,7 @@
 
 
 class Group:
-    """A group that answers as it is told, and keeps what it was asked."""
+    """A group with scripted answers that records its requests."""
 
     def __init__(self) -> None:
         self.asked: list[core.Request] = []
@@ -40,8 +40,8 @@
 
 
 @attrs.define
-class Bench:
-    """A session before one group, whose route can change."""
+class Harness:
+    """The dependencies of a session: one group and a variable route."""
 
     group: Group = attrs.field(factory=Group)
     route: sessions.DatabaseRoute | None = ROUTE
@@ -74,13 +74,13 @@
 
 
 @pytest.fixture
-def bench() -> Bench:
-    return Bench()
+def harness() -> Harness:
+    return Harness()
 
 
 @pytest.fixture
-def session(bench) -> sessions.Session:
-    return bench.open()
+def session(harness) -> sessions.Session:
+    return harness.open()
 
 
 READ = sessions.Run('r1', 'READ x', writes=False)
@@ -90,38 +90,40 @@
 pytestmark = pytest.mark.anyio
 
 
-async def test_a_single_write_commits_by_itself(bench, session):
+async def test_a_single_write_commits_by_itself(harness, session):
     reply = await session.handle(WRITE)
-    (req,) = bench.group.asked
+    (req,) = harness.group.asked
     assert (req.kind, req.autocommit) == (core.Kind.WRITE, True)
     assert req.statements[0].id == 'w1'
     assert reply.state is sessions.SessionState.IDLE
 
 
 async def test_a_begin_reaches_the_group_with_the_first_statement(
-    bench, session
+    harness, session
 ):
     reply = await session.handle(sessions.Begin('b1'))
-    assert bench.group.asked == []
+    assert harness.group.asked == []
     assert reply.state is sessions.SessionState.OPEN
     await session.handle(READ)
     await session.handle(WRITE)
     await session.handle(COMMIT)
-    kinds = [req.kind for req in bench.group.asked]
+    kinds = [req.kind for req in harness.group.asked]
     assert kinds == [core.Kind.BEGIN, core.Kind.EXECUTE, core.Kind.COMMIT]
-    assert bench.group.asked[-1].statements[0].sql == 'COMMIT'
+    assert harness.group.asked[-1].statements[0].sql == 'COMMIT'
 
 
-async def test_an_empty_transaction_is_begun_before_its_commit(bench, session):
+async def test_an_empty_transaction_is_begun_before_its_commit(
+    harness, session
+):
     await session.handle(sessions.Begin('b1'))
     await session.handle(COMMIT)
-    kinds = [req.kind for req in bench.group.asked]
+    kinds = [req.kind for req in harness.group.asked]
     assert kinds == [core.Kind.BEGIN, core.Kind.COMMIT]
 
 
-async def test_a_failed_statement_fails_its_transaction(bench, session):
+async def test_a_failed_statement_fails_its_transaction(harness, session):
     await session.handle(sessions.Begin('b1'))
-    bench.group.answers.append(
+    harness.group.answers.append(
         core.Answer(core.Outcome.NOT_RUN, core.Code.OVERLOADED)
     )
     failed = await session.handle(READ)
@@ -133,23 +135,23 @@
     assert ended.state is sessions.SessionState.IDLE
 
 
-async def test_values_go_with_every_statement(bench, session):
+async def test_session_values_are_sent_with_every_statement(harness, session):
     await session.handle(sessions.SetValue('s1', 'zone', 'a'))
     await session.handle(READ)
-    assert bench.group.asked[0].values == (('zone', 'a'),)
+    assert harness.group.asked[0].values == (('zone', 'a'),)
 
 
-async def test_an_unknown_prepared_name_is_refused(bench, session):
+async def test_an_unknown_prepared_name_is_refused(harness, session):
     reply = await session.handle(sessions.Execute('e1', 'p', 'x'))
     assert reply.answer.code is core.Code.NO_STATEMENT
-    assert bench.group.asked == []
+    assert harness.group.asked == []
 
 
-async def test_a_prepared_write_runs_as_a_write(bench, session):
+async def test_a_prepared_write_runs_as_a_write(harness, session):
     shape = core.Prepared('q1', writes=True)
     await session.handle(sessions.Prepare('p1', 'p', shape))
     await session.handle(sessions.Execute('e1', 'p', 'x 1'))
-    (req,) = bench.group.asked
+    (req,) = harness.group.asked
     assert req.kind is core.Kind.WRITE
     assert req.statements[0].prepared == shape
 
@@ -160,26 +162,28 @@
     assert one.name != core.Prepared('q1', writes=True).name
 
 
-async def test_a_commit_sets_the_floor_of_later_reads(bench, session):
-    bench.group.answers.append(
+async def test_a_commit_sets_the_floor_of_later_reads(harness, session):
+    harness.group.answers.append(
         attrs.evolve(DONE, position=core.Position(1, 7))
     )
     await session.handle(WRITE)
     await session.handle(READ)
-    assert bench.group.asked[1].floor == core.Position(1, 7)
+    assert harness.group.asked[1].floor == core.Position(1, 7)
 
 
 async def test_a_write_without_permission_at_the_end_is_unknown(
-    bench, session
+    harness, session
 ):
-    bench.group.may_acknowledge = False
+    harness.group.may_acknowledge = False
     reply = await session.handle(WRITE)
     assert reply.answer.outcome is core.Outcome.UNKNOWN
 
 
-async def test_a_removed_route_ends_at_the_next_transaction(bench, session):
+async def test_removed_route_is_refused_from_the_next_transaction(
+    harness, session
+):
     await session.handle(sessions.Begin('b1'))
-    bench.route = None
+    harness.route = None
     inside = await session.handle(READ)
     assert inside.answer.outcome is core.Outcome.DONE
     await session.handle(COMMIT)
@@ -187,17 +191,20 @@
     assert after.answer.code is core.Code.NOT_FOUND
 
 
-async def test_a_caller_that_leaves_is_rolled_back(bench, session):
+async def test_closing_a_session_rolls_its_transaction_back(harness, session):
     await session.handle(sessions.Begin('b1'))
     await session.handle(READ)
     session.close()
-    (event,) = bench.group.posted
+    (event,) = harness.group.posted
     assert event.req.kind is core.Kind.ROLLBACK
     assert event.req.txn == 'p~1'
 
 
-async def test_a_group_that_is_not_known_yet_is_no_missing_database(bench):
-    """Found on a day with restarts: a caller was told to go away for good."""
+async def test_unknown_group_is_not_reported_as_a_missing_database(harness):
+    """Guards against a final refusal while proxies restart.
+
+    The caller must get a code that tells it to retry.
+    """
     deps = sessions.SessionDeps(
         access_of=lambda name, caller: result.Ok(sessions.Access(ROUTE)),
         group_of=lambda name: None,
@@ -214,55 +221,55 @@
 # Keys ---------------------------------------------------------------------
 
 
-def ring(*keys: str) -> tenants.Keyring:
-    """Give a ring with one tenant that has these keys."""
+def keyring_of(*keys: str) -> tenants.Keyring:
+    """Return a keyring with one tenant that has these keys."""
     hashes = frozenset(map(tenants.key_hash, keys))
     return tenants.Keyring([tenants.Tenant('acme', hashes, 10, 10)])
 
 
-async def test_a_request_goes_under_the_tenant_that_holds_the_key(bench):
-    bench.keyring = ring('u1')
-    await bench.open().handle(WRITE)
-    assert bench.group.asked[0].tenant == 'acme'
+async def test_request_carries_the_tenant_that_holds_the_key(harness):
+    harness.keyring = keyring_of('u1')
+    await harness.open().handle(WRITE)
+    assert harness.group.asked[0].tenant == 'acme'
 
 
-async def test_a_key_is_looked_up_when_an_operation_starts(bench):
-    bench.keyring = ring('u1')
-    session = bench.open()
+async def test_a_key_is_looked_up_when_an_operation_starts(harness):
+    harness.keyring = keyring_of('u1')
+    session = harness.open()
     assert (await session.handle(READ)).answer.outcome is core.Outcome.DONE
-    bench.keyring = ring('u2')
+    harness.keyring = keyring_of('u2')
     for command in (READ, WRITE, sessions.Begin('b1')):
         answer = (await session.handle(command)).answer
         assert answer.code is core.Code.UNAUTHORIZED
         assert answer.outcome is core.Outcome.NOT_RUN
-    assert len(bench.group.asked) == 1
+    assert len(harness.group.asked) == 1
 
 
-async def test_a_transaction_ends_soon_after_its_key_is_withdrawn(bench):
-    bench.keyring = ring('u1')
-    session = bench.open()
+async def test_a_transaction_ends_soon_after_its_key_is_withdrawn(harness):
+    harness.keyring = keyring_of('u1')
+    session = harness.open()
     await session.handle(sessions.Begin('b1'))
     await session.handle(READ)
-    bench.keyring = ring()
+    harness.keyring = keyring_of()
     assert (await session.handle(READ)).answer.outcome is core.Outcome.DONE
-    bench.now += 3.0
+    harness.now += 3.0
     refused = await session.handle(READ)
     assert refused.answer.code is core.Code.UNAUTHORIZED
     assert refused.state is sessions.SessionState.FAILED
     ended = await session.handle(COMMIT)
     assert ended.answer.code is core.Code.TXN_UNKNOWN
-    assert [event.req.kind for event in bench.group.posted] == [
+    assert [event.req.kind for event in harness.group.posted] == [
         core.Kind.ROLLBACK
     ]
 
 
-async def test_a_commit_is_refused_once_its_key_is_long_withdrawn(bench):
-    bench.keyring = ring('u1')
-    session = bench.open()
+async def test_a_commit_is_refused_once_its_key_is_long_withdrawn(harness):
+    harness.keyring = keyring_of('u1')
+    session = harness.open()
     await session.handle(sessions.Begin('b1'))
     await session.handle(READ)
-    bench.keyring = ring()
-    bench.now += 3.0
+    harness.keyring = keyring_of()
+    harness.now += 3.0
     ended = await session.handle(COMMIT)
     assert ended.answer.outcome is core.Outcome.NOT_RUN
-    assert core.Kind.COMMIT not in [req.kind for req in bench.group.asked]
+    assert core.Kind.COMMIT not in [req.kind for req in harness.group.asked]
