--- a/src/tidegrade/session_proxy/__init__.py
+++ b/src/tidegrade/session_proxy/__init__.py
@@ -1,4 +1,4 @@
-"""The program whose callers hold sessions over a connection."""
+"""The proxy program that serves sessions over connections."""
 
 import anyio
 
@@ -8,14 +8,14 @@
 from tidegrade.session_proxy._settings import Outside
 from tidegrade.session_proxy._settings import ProxySettings
 
-#: Exit status of a process that stopped over a broken invariant.
+#: Exit status of a process that stopped because of a broken invariant.
 INVARIANT_EXIT = 70
 
 __all__ = ['INVARIANT_EXIT', 'Outside', 'ProxySettings', 'run']
 
 
 def run(cfg: ProxySettings, outside: Outside) -> int:
-    """Run a proxy to its end and give the exit status."""
+    """Run a proxy until it stops and return its exit status."""
     try:
         anyio.run(_run, cfg, outside, backend_options={'use_uvloop': True})
     except BaseExceptionGroup as group:
--- a/src/tidegrade/session_proxy/_accounts.py
+++ b/src/tidegrade/session_proxy/_accounts.py
@@ -1,4 +1,4 @@
-"""What the log and the metrics tell of sessions' requests."""
+"""Log lines and metrics of the commands of sessions."""
 
 from tidegrade.adapters import _metrics
 from tidegrade import core
@@ -11,8 +11,9 @@
     core.Outcome.UNKNOWN: logs.LogEvent.OUTCOME_UNKNOWN,
 }
 
-#: Commands that only change the session; they reach no endpoint.
-_OWN = (
+#: Commands that only change the session and reach no endpoint. They are not
+#: recorded if they succeed.
+_SESSION_ONLY = (
     sessions.SetValue,
     sessions.Prepare,
     sessions.Deallocate,
@@ -21,35 +22,35 @@
 )
 
 
-#: Tenants that metrics name; all others are counted as one, so that a page
-#: stays small however many there are.
-MOST_LABELS = 100
-OTHERS = 'others'
+#: Number of tenants with metric labels of their own. All others share one
+#: label, so that the size of the metrics page is bounded.
+MAX_TENANT_LABELS = 100
+OTHERS_LABEL = 'others'
 
 
 class Accounts:
-    """Counts and logs the answers of sessions."""
+    """Counts and logs the commands of sessions."""
 
     def __init__(self, metrics: _metrics.Metrics) -> None:
         self._metrics = metrics
         self._named: set[str] = set()
 
     def note(self, account: sessions.Account) -> None:
-        """Take in one answer."""
+        """Record one command and its answer."""
         answer = account.reply.answer
         done = answer.outcome is core.Outcome.DONE
-        if done and isinstance(account.command, _OWN):
+        if done and isinstance(account.command, _SESSION_ONLY):
             return
         self._count(account, answer)
         self._log(account, answer)
 
     def _label_of(self, account: sessions.Account) -> str:
-        """Give the tenant's label, or the database's where there is none."""
+        """Return the tenant's label, or the database's if it has no tenant."""
         name = account.tenant or account.database
         if name in self._named:
             return name
-        if len(self._named) >= MOST_LABELS:
-            return OTHERS
+        if len(self._named) >= MAX_TENANT_LABELS:
+            return OTHERS_LABEL
         self._named.add(name)
         return name
 
--- a/src/tidegrade/session_proxy/_config_fetch.py
+++ b/src/tidegrade/session_proxy/_config_fetch.py
@@ -1,9 +1,9 @@
-"""Getting the newest configuration from other proxies that have it.
+"""Fetches the newest configuration from other proxies that have it.
 
-On 71 VMs with links of 5 Mbit/s and a configuration of 330 KB, one question
-at a time to one proxy, with 0.3 s for the answer, left 66 without it. Now
-several are asked in turn, the next while the one before is still waited
-for, and an answer counts whenever it comes.
+Several proxies are asked in turn, the next one while the answer of the
+previous one is still pending, and a late answer is used too. With one request
+at a time to one proxy and 0.3 s for its answer, 66 of 71 VMs with links of
+5 Mbit/s did not get a configuration of 330 KB.
 """
 
 from collections.abc import Callable
@@ -20,38 +20,38 @@
 from tidegrade.peers import _messages as messages
 from tidegrade import ports
 
-#: Pause between looks at what the others have, in seconds: about half of
-#: the pause between their heartbeats.
-LOOK = 0.25
-#: How long an answer is waited for before the next proxy is asked as well,
-#: in seconds: many round trips, and 0.25 MB on a link of 5 Mbit/s.
-NEXT_AFTER = 0.4
-#: Proxies that are asked at the same time: one may answer nobody.
-MAX_ASKED = 2
-#: Longest pause before a proxy of another failure domain is asked, in
-#: seconds: meanwhile a neighbour may have the configuration.
-FAR_PAUSE = 0.5
+#: Interval between checks of other proxies' heartbeats, in seconds: about half
+#: of a heartbeat interval.
+CHECK_INTERVAL_S = 0.25
+#: Wait for an answer before the next proxy is asked as well, in seconds: many
+#: round trips, or the time for 0.25 MB on a link of 5 Mbit/s.
+NEXT_REQUEST_AFTER_S = 0.4
+#: Proxies asked at the same time: more than one, since one may not answer.
+MAX_CONCURRENT_REQUESTS = 2
+#: Longest random delay before a proxy of another failure domain is asked, in
+#: seconds: meanwhile a proxy of the same domain may get the configuration.
+REMOTE_DOMAIN_DELAY_S = 0.5
 
 
 @attrs.define
-class _Pursuit:
-    """One configuration being fetched, until it is there."""
+class _Fetch:
+    """The state of one fetch, from its start until no source is newer."""
 
     sources: core.Sources
     in_flight: int = 0
-    #: The newest version that was got; it is in force a moment later.
-    got: int = 0
-    far_allowed: bool = False
+    #: The newest version received; it is put in force shortly afterwards.
+    received_version: int = 0
+    is_remote_allowed: bool = False
     answered: anyio.Event = attrs.field(factory=anyio.Event)
 
-    def note_answer(self) -> None:
-        """Wake up whoever waits for an answer."""
+    def notify_answer(self) -> None:
+        """Wake the task that waits for an answer."""
         self.answered.set()
         self.answered = anyio.Event()
 
 
 class ConfigFetch:
-    """Owns the questions to other proxies for a configuration."""
+    """Requests newer configurations from other proxies."""
 
     def __init__(
         self,
@@ -66,66 +66,70 @@
         self._peers = peers
         self._version = version
         self._rng = rng
-        #: The newest version that was logged as heard of.
-        self._heard_of = 0
+        #: The newest version whose existence was logged.
+        self._logged_version = 0
 
     async def run(self) -> None:
-        """Keep up with the others until cancelled."""
+        """Fetch each newer configuration until cancelled."""
         while True:
-            if self._having(self._version()):
-                await self._pursue()
-            await anyio.sleep(LOOK)
+            if self._newer_sources(self._version()):
+                await self._fetch_newest()
+            await anyio.sleep(CHECK_INTERVAL_S)
 
-    async def _pursue(self) -> None:
-        """Ask one proxy after another until nobody has anything newer."""
-        pursuit = _Pursuit(core.Sources(self._rng))
+    async def _fetch_newest(self) -> None:
+        """Ask one proxy after another until none has a newer version."""
+        active_fetch = _Fetch(core.Sources(self._rng))
         async with anyio.create_task_group() as tasks:
-            while having := self._having(max(self._version(), pursuit.got)):
-                answered = pursuit.answered
-                await self._ask_next(pursuit, having, tasks)
-                with anyio.move_on_after(NEXT_AFTER):
+            while newer := self._newer_sources(
+                max(self._version(), active_fetch.received_version)
+            ):
+                answered = active_fetch.answered
+                await self._ask_next(active_fetch, newer, tasks)
+                with anyio.move_on_after(NEXT_REQUEST_AFTER_S):
                     await answered.wait()
             tasks.cancel_scope.cancel()
 
     async def _ask_next(
         self,
-        pursuit: _Pursuit,
-        having: list[core.Source],
+        active_fetch: _Fetch,
+        newer: list[core.Source],
         tasks: anyio.abc.TaskGroup,
     ) -> None:
-        """Ask another proxy, unless enough are being asked."""
-        if pursuit.in_flight >= MAX_ASKED:
+        """Ask another proxy, unless the limit of requests is reached."""
+        if active_fetch.in_flight >= MAX_CONCURRENT_REQUESTS:
             return
-        source = pursuit.sources.choose(having)
+        source = active_fetch.sources.choose(newer)
         if source is None:
-            pursuit.sources.start_over()
+            active_fetch.sources.start_over()
             return
-        if not source.near and not pursuit.far_allowed:
-            pursuit.far_allowed = True
-            await anyio.sleep(self._rng.uniform(0, FAR_PAUSE))
-            having = self._having(max(self._version(), pursuit.got))
-            source = pursuit.sources.choose(having)
+        if not source.near and not active_fetch.is_remote_allowed:
+            active_fetch.is_remote_allowed = True
+            await anyio.sleep(self._rng.uniform(0, REMOTE_DOMAIN_DELAY_S))
+            newer = self._newer_sources(
+                max(self._version(), active_fetch.received_version)
+            )
+            source = active_fetch.sources.choose(newer)
         if source is None:
             return
-        pursuit.sources.asked(source)
-        pursuit.in_flight += 1
-        tasks.start_soon(self._ask, pursuit, source.proxy)
+        active_fetch.sources.asked(source)
+        active_fetch.in_flight += 1
+        tasks.start_soon(self._ask, active_fetch, source.proxy)
 
-    def _having(self, known: int) -> list[core.Source]:
-        """Give the proxies that have a newer configuration in force."""
+    def _newer_sources(self, known: int) -> list[core.Source]:
+        """Return the proxies that have a newer configuration in force."""
         return [
             core.Source(peer.beat.proxy, peer.beat.domain == self._spot.domain)
             for peer in self._peers.alive()
             if peer.beat.config_version > known
         ]
 
-    async def _ask(self, pursuit: _Pursuit, proxy: str) -> None:
+    async def _ask(self, active_fetch: _Fetch, proxy: str) -> None:
         known = self._version()
-        self._log_heard_of(proxy, known)
+        self._log_newer_version(proxy, known)
         question = messages.AskConfig(core.ConfigRef(known + 1, ''))
         asked_at = anyio.current_time()
         answer = await self._peers.fetch(proxy, question)
-        pursuit.in_flight -= 1
+        active_fetch.in_flight -= 1
         took_ms = round((anyio.current_time() - asked_at) * 1000)
         if not isinstance(answer, messages.ConfigContent):
             logs.write_bounded(
@@ -135,18 +139,18 @@
                 took_ms=took_ms,
             )
             return
-        self._take(pursuit, proxy, answer, took_ms)
-        pursuit.note_answer()
+        self._accept(active_fetch, proxy, answer, took_ms)
+        active_fetch.notify_answer()
 
-    def _take(
+    def _accept(
         self,
-        pursuit: _Pursuit,
+        active_fetch: _Fetch,
         proxy: str,
         content: messages.ConfigContent,
         took_ms: int,
     ) -> None:
-        """Take in what another proxy gave, if it is newer."""
-        known = max(self._version(), pursuit.got)
+        """Adopt the configuration of another proxy if it is newer."""
+        known = max(self._version(), active_fetch.received_version)
         if content.ref.version <= known or not content.document:
             return
         logs.write(
@@ -156,17 +160,17 @@
             known_version=known,
             took_ms=took_ms,
         )
-        pursuit.got = content.ref.version
+        active_fetch.received_version = content.ref.version
         self._directory.offer(content.document)
 
-    def _log_heard_of(self, proxy: str, known: int) -> None:
+    def _log_newer_version(self, proxy: str, known: int) -> None:
         newest = max(
             (peer.beat.config_version for peer in self._peers.alive()),
             default=known,
         )
-        if newest <= self._heard_of:
+        if newest <= self._logged_version:
             return
-        self._heard_of = newest
+        self._logged_version = newest
         logs.write(
             logs.LogEvent.CONFIG_HEARD_OF,
             peer=proxy,
--- a/src/tidegrade/session_proxy/_endpoint_list.py
+++ b/src/tidegrade/session_proxy/_endpoint_list.py
@@ -1,7 +1,7 @@
-"""Keeping up with the platform's list of endpoints.
+"""Distribution of the platform's endpoint list among the proxies.
 
-The proxies that watch the platform read the list and tell the others when
-it has changed; the others ask them now and then.
+The watchers of the platform read the list and announce each change; the other
+proxies poll them.
 """
 
 from collections.abc import Callable
@@ -16,69 +16,73 @@
 from tidegrade import ports
 from tidegrade.session_proxy import _platform_watch
 
-#: Pause between readings of the first watcher, in seconds: an endpoint that
-#: leaves must be known as such within seconds.
-FIRST_PAUSE = 2.0
-#: The same for the other watchers, who only make sure.
-SECOND_PAUSE = 6.0
-#: Pause between questions of a proxy that doesn't watch, in seconds.
-ASK_PAUSE = 6.0
-#: The same while something is missing that the list may bring.
-HURRIED_PAUSE = 0.8
+#: Interval between reads by the first watcher, in seconds: an endpoint that
+#: leaves must be known as leaving within seconds.
+FIRST_WATCHER_INTERVAL_S = 2.0
+#: Interval between reads by the other watchers, which are only a backup, in
+#: seconds.
+BACKUP_WATCHER_INTERVAL_S = 6.0
+#: Poll interval of a proxy that is not a watcher, in seconds.
+POLL_INTERVAL_S = 6.0
+#: Longest interval of any proxy while it lacks a group's row, for which a new
+#: list may be needed, in seconds.
+URGENT_INTERVAL_S = 0.8
 
-#: How long after the lists came back from an older copy they are not taken,
-#: in seconds: the copy names endpoints as ready that leave or have gone, and
-#: by then each that runs has written its entry again.
-RETURN_SETTLES = 2.0
+#: How long lists are ignored after the platform's store was restored from an
+#: older copy, in seconds. The copy lists endpoints as ready that are leaving
+#: or gone; within this time each running endpoint writes its entry again.
+RESTORE_SETTLE_S = 2.0
 
-#: Called with each list that is newer than the one before.
-Learned = Callable[[tuple[ports.EndpointEntry, ...]], None]
+#: Callback that receives each list that is newer than the previous one.
+ListCallback = Callable[[tuple[ports.EndpointEntry, ...]], None]
 
 
 class EndpointListTask:
-    """Reads the list or asks for it, and tells of changes."""
+    """Reads or polls the endpoint list and announces its changes."""
 
     def __init__(
         self,
         directory: ports.Directory,
         peers: _peers_task.PeersTask,
         watch: _platform_watch.PlatformWatch,
-        learned: Learned,
-        hurried: Callable[[], bool],
+        on_list: ListCallback,
+        is_urgent: Callable[[], bool],
     ) -> None:
         self._directory = directory
         self._peers = peers
         self._watch = watch
-        self._learned = learned
-        self._hurried = hurried
+        self._on_list = on_list
+        self._is_urgent = is_urgent
         self._known = ports.EndpointList(-1, ())
-        #: Of the lists, as they were read last, and since when it is usable.
+        #: Store generation of the list read last, and the time from which
+        #: lists of that generation are accepted.
         self._generation = 0
         self._settled_at = float('-inf')
-        #: The known list as it is sent.
-        self._raw = b''
+        #: The known list, encoded for other proxies.
+        self._encoded = b''
 
     async def run(self) -> None:
-        """Keep the list up until cancelled."""
+        """Keep the list current until cancelled."""
         while True:
             if self._watch.watching or not await self._ask():
                 await self._read()
-            await anyio.sleep(self._pause())
+            await anyio.sleep(self._interval())
 
     def answer(self, question: messages.AskEndpoints) -> messages.EndpointNews:
-        """Give another proxy the list, if it is newer than its own."""
+        """Return the list, or no entries if the asker's list is as new."""
         if self._known.version <= question.version:
             return messages.EndpointNews(max(0, self._known.version), b'')
         return self._news()
 
     def heard(self, news: messages.EndpointNews) -> None:
-        """Take in the list as another proxy has it."""
+        """Process a list that another proxy sent."""
         if not news.entries or news.version <= self._known.version:
             return
-        if news.entries == self._raw:
-            # Several watchers tell of the same change, each at a version
-            # of its own. Of 195 proxies that started together each took in
-            # 96 lists in 5 s, with the settings of ten groups each time.
+        if news.entries == self._encoded:
+            # Several watchers announce the same change, each with a version
+            # of its own. Without this check, each of 195 proxies that start
+            # together applies 96 lists in 5 s, and with each list the
+            # settings of ten groups.
             self._known = attrs.evolve(self._known, version=news.version)
             return
         read = _structure.structure(
@@ -90,37 +94,46 @@
                 reason='; '.join(read.unwrap_err()),
             )
             return
-        self._take(ports.EndpointList(news.version, read.unwrap()))
+        self._accept(ports.EndpointList(news.version, read.unwrap()))
 
-    def _pause(self) -> float:
-        pause = ASK_PAUSE
+    def _interval(self) -> float:
+        interval = POLL_INTERVAL_S
         if self._watch.watching:
-            pause = SECOND_PAUSE if self._watch.turn else FIRST_PAUSE
-        return min(pause, HURRIED_PAUSE) if self._hurried() else pause
+            interval = (
+                BACKUP_WATCHER_INTERVAL_S
+                if self._watch.turn
+                else FIRST_WATCHER_INTERVAL_S
+            )
+        return (
+            min(interval, URGENT_INTERVAL_S) if self._is_urgent() else interval
+        )
 
     async def _read(self) -> None:
-        """Read the list from the platform; tell the others of a change."""
+        """Read the list from the platform and announce a change."""
         listed = await self._directory.endpoints()
         if listed.is_err():
             return
         found = listed.unwrap()
-        if found.version < self._known.version or self._settles(found):
+        if found.version < self._known.version or self._is_settling(found):
             return
         changed = found.entries != self._known.entries
-        self._take(found)
+        self._accept(found)
         if changed:
             self._peers.announce(self._news())
 
-    def _settles(self, found: ports.EndpointList) -> bool:
-        """Tell whether a list may be of before its return from a copy."""
+    def _is_settling(self, found: ports.EndpointList) -> bool:
+        """Return whether a list may be stale after a restored store."""
         now = anyio.current_time()
         known, self._generation = self._generation, found.generation
         if known and found.generation > known:
-            self._settled_at = now + RETURN_SETTLES
+            self._settled_at = now + RESTORE_SETTLE_S
         return now < self._settled_at
 
     async def _ask(self) -> bool:
-        """Ask a watcher for a newer list; tell whether one answered."""
+        """Ask watchers for a newer list; return whether a list is known.
+
+        The first watcher that answers ends the poll.
+        """
         for proxy in self._watch.watchers():
             question = messages.AskEndpoints(max(0, self._known.version))
             answer = await self._peers.fetch(proxy, question)
@@ -129,10 +142,10 @@
                 return self._known.version >= 0
         return False
 
-    def _take(self, found: ports.EndpointList) -> None:
+    def _accept(self, found: ports.EndpointList) -> None:
         self._known = found
-        self._raw = _structure.to_json(found.entries)
-        self._learned(found.entries)
+        self._encoded = _structure.to_json(found.entries)
+        self._on_list(found.entries)
 
     def _news(self) -> messages.EndpointNews:
-        return messages.EndpointNews(self._known.version, self._raw)
+        return messages.EndpointNews(self._known.version, self._encoded)
--- a/src/tidegrade/session_proxy/_groups.py
+++ b/src/tidegrade/session_proxy/_groups.py
@@ -1,4 +1,4 @@
-"""The groups that this proxy serves, as the platform lists them."""
+"""The groups of the platform's endpoint list and their endpoints."""
 
 from collections.abc import Iterable
 from collections.abc import Sequence
@@ -9,28 +9,28 @@
 from tidegrade import ports
 from tidegrade import sessions
 
-#: The site under which the platform's groups are known: it has one only.
+#: Name of the only site that the platform's groups belong to.
 SITE = 'platform'
 
 
-#: Lists must have lacked an endpoint for this long before it counts as
-#: gone, in seconds: entries that lapse while the platform's store is away
-#: are back about two seconds after its return.
-GONE_AFTER = 6.0
+#: How long an endpoint must be missing from the lists before it counts as
+#: gone, in seconds. Entries that expire while the platform's store is down are
+#: written again about two seconds after its return.
+GONE_AFTER_S = 6.0
 
 
 @attrs.define
 class GroupList:
-    """Joins the configuration with the list of endpoints.
+    """Joins the configuration with the endpoint list.
 
-    An endpoint is named by its address, so that one which is replaced at
-    its place stays the same member. What vanished from the list is kept:
-    it may have lapsed while the platform's store was down, and whether it
-    answers is found out by asking it.
+    An endpoint's name is its address, so that a replacement at the same
+    address stays the same member. An endpoint that is missing from the list
+    is kept: its entry may have expired while the platform's store was down,
+    and probes show whether it answers.
 
-    A group's first row says who votes, so its first primary is named only
-    once the list has not grown for ``settle`` seconds: a member that was
-    left out could not vote for a new primary later.
+    A group's first row lists the voting members, so its first primary is
+    named only once the list has not grown for ``settle`` seconds: a member
+    that the row lacks could not vote for a new primary later.
     """
 
     suspect_after: float
@@ -46,7 +46,7 @@
     def learn(
         self, entries: Sequence[ports.EndpointEntry], now: float
     ) -> None:
-        """Take in a list; where two share an address, the one that stays."""
+        """Process a list; of two at one address, prefer one not leaving."""
         listed: dict[str, dict[str, ports.EndpointEntry]] = {}
         for entry in entries:
             group = listed.setdefault(entry.group, {})
@@ -63,10 +63,10 @@
             known.update(group)
 
     def learn_members(self, group: str, members: Iterable[str]) -> None:
-        """Take in the endpoints that a group's row names.
+        """Add the members of a group's row to its endpoints.
 
-        One whose entry has lapsed is still a member, at the address that
-        is its name; only its failure domain isn't known.
+        An endpoint whose entry has expired is still a member. Its name is
+        its address; only its failure domain is unknown.
         """
         known = self._seen.setdefault(group, {})
         for name in members:
@@ -85,13 +85,13 @@
                 )
 
     def leaving(self, group: str) -> frozenset[str]:
-        """Give the endpoints of a group that are to get no new work."""
+        """Return the endpoints of a group that must get no new requests."""
         known = self._seen.get(group, {})
         return frozenset(name for name, e in known.items() if e.leaving)
 
     def gone(self, group: str) -> frozenset[str]:
-        """Give the endpoints of a group that no list names any more."""
-        oldest = self._learned_at - GONE_AFTER
+        """Return the endpoints of a group that are gone from the lists."""
+        oldest = self._learned_at - GONE_AFTER_S
         return frozenset(
             name
             for name in self._seen.get(group, {})
@@ -104,10 +104,11 @@
         catalogue: sessions.Catalogue,
         now: float,
     ) -> config.Group | None:
-        """Give a group's configuration; None until endpoints are listed.
+        """Return a group's configuration; None until endpoints are listed.
 
-        Where none leads, as after a failure, the group has its row; only
-        a group without one needs to know the first primary.
+        The first primary is empty if no endpoint leads, as after a failure.
+        Only a group without a row needs it, and after a failure the group
+        has its row.
         """
         known = self._seen.get(entry.name, {})
         if not known:
--- a/src/tidegrade/session_proxy/_homes.py
+++ b/src/tidegrade/session_proxy/_homes.py
@@ -1,4 +1,4 @@
-"""Which proxies serve which groups, as this one sees it."""
+"""Which proxies serve which groups, as seen by this proxy."""
 
 from collections.abc import Callable
 
@@ -9,13 +9,14 @@
 from tidegrade.peers import _messages as messages
 from tidegrade import ports
 
-#: How long a proxy that did not answer is passed over at least, in seconds;
-#: then until a heartbeat that it sent since comes.
-AVOIDED_FOR = 1.0
+#: Shortest time for which a proxy that did not answer gets no requests, in
+#: seconds. After it the proxy is used again once a heartbeat that it sent
+#: since has arrived.
+AVOID_FOR_S = 1.0
 
 
 class HomeMap:
-    """Tells whether this proxy serves a group, and else who does."""
+    """Determines whether this proxy or which other serves a group."""
 
     def __init__(
         self,
@@ -29,13 +30,14 @@
         self._clock = clock
         self._by_tenant = by_tenant
         self._failed_at: dict[str, float] = {}
-        self._asked: dict[str, int] = {}
+        self._in_flight: dict[str, int] = {}
 
     def of(self, group: str, cfg: config.Group, draining: bool) -> core.Homes:
-        """Give this proxy's part in serving a group.
+        """Return whether this proxy serves a group, and how many do.
 
-        Until it has looked for others it serves none: all that start
-        together would take each group for theirs alone.
+        A proxy that has not looked for others yet serves no group: without
+        this, each of many that start together would serve every group as if
+        it were alone.
         """
         if not self._peers.has_looked:
             return core.Homes(False, 0)
@@ -50,7 +52,8 @@
             self._by_tenant(),
         )
         if found.count == sum(map(len, proxies.values())):
-            # All serve; those that were named lately may be starting.
+            # All proxies serve the group; those that the platform listed
+            # recently may still be starting, so they are counted too.
             return core.Homes(True, 1 + self._peers.named_count())
         return core.Homes(found.is_home and not draining, found.count)
 
@@ -62,34 +65,36 @@
         serving: bool,
         tried: frozenset[str],
     ) -> str | None:
-        """Give the proxy to hand a request to; it may be this one.
+        """Return the proxy that should serve a request; may be this one.
 
-        A tenant's requests go to the home that keeps its connections, others
-        to one that is near and not busy. ``serving`` says that this one
-        serves the group itself.
+        A tenant's requests go to the home that holds its connections, other
+        requests to a home in this failure domain with few requests in
+        flight. ``serving`` is true if this proxy serves the group itself.
+        The result is None if no proxy is known.
         """
         found = [
             peer.beat.proxy
             for peer in self._peers.serving(key)
-            if self._may_take(peer.beat.proxy, tried)
+            if self._is_usable(peer.beat.proxy, tried)
             and not peer.beat.draining
         ]
         if serving:
             found.append(self._spot.proxy)
         if not found:
             found = self._expected(key, cfg, tried)
-        found = self._in_touch(found)
+        found = self._reachable(found)
         if not found:
             return None
         if tenant:
             return core.home_of_tenant(key.group, tenant, found)
         return min(found, key=self._cost)
 
-    def _in_touch(self, proxies: list[str]) -> list[str]:
-        """Leave out those behind a cut, if there are others.
+    def _reachable(self, proxies: list[str]) -> list[str]:
+        """Exclude proxies of silent failure domains, if others remain.
 
-        A tenant's home may be in any domain: each request for one that is
-        cut off would wait for its answer until heartbeats tell.
+        A tenant's home may be in any domain. Without this, each request to
+        a home in an unreachable domain would wait for an answer until the
+        home's heartbeats have expired.
         """
         silent = self._peers.silent_domains()
         near = [p for p in proxies if self._peers.domain_of(p) not in silent]
@@ -101,36 +106,36 @@
         cfg: config.Group,
         tried: frozenset[str],
     ) -> list[str]:
-        """Give the homes that have not been heard of yet, as after a start."""
+        """Return the homes expected before their heartbeats have arrived."""
         proxies = self._peers.candidates()
         found = core.expected_homes(key.group, cfg, proxies, self._by_tenant())
-        return [proxy for proxy in found if self._may_take(proxy, tried)]
+        return [proxy for proxy in found if self._is_usable(proxy, tried)]
 
-    def asked(self, proxy: str) -> None:
-        """Note that a request was handed to a proxy."""
-        self._asked[proxy] = self._asked.get(proxy, 0) + 1
+    def forwarded(self, proxy: str) -> None:
+        """Record that a request was forwarded to a proxy."""
+        self._in_flight[proxy] = self._in_flight.get(proxy, 0) + 1
 
     def answered(self, proxy: str, lost: bool) -> None:
-        """Note the end of a request at a proxy, or that none came."""
-        left = self._asked.get(proxy, 0) - 1
+        """Record the end of a forwarded request; ``lost``: no answer came."""
+        left = self._in_flight.get(proxy, 0) - 1
         if left > 0:
-            self._asked[proxy] = left
+            self._in_flight[proxy] = left
         else:
-            self._asked.pop(proxy, None)
+            self._in_flight.pop(proxy, None)
         if lost:
             self._failed_at[proxy] = self._clock.now()
 
-    def _may_take(self, proxy: str, tried: frozenset[str]) -> bool:
+    def _is_usable(self, proxy: str, tried: frozenset[str]) -> bool:
         if proxy in tried:
             return False
         failed_at = self._failed_at.get(proxy)
         if failed_at is None:
             return True
-        if self._clock.now() - failed_at < AVOIDED_FOR:
+        if self._clock.now() - failed_at < AVOID_FOR_S:
             return False
         return self._peers.heard_since(proxy, failed_at)
 
     def _cost(self, proxy: str) -> tuple[bool, int, bytes]:
         far = self._peers.domain_of(proxy) != self._spot.domain
         order = core.weight(self._spot.proxy, proxy)
-        return (far, self._asked.get(proxy, 0), order)
+        return (far, self._in_flight.get(proxy, 0), order)
--- a/src/tidegrade/session_proxy/_members.py
+++ b/src/tidegrade/session_proxy/_members.py
@@ -1,4 +1,4 @@
-"""Finding the other proxies through their rows in the table."""
+"""Discovery of other proxies through their rows in the table."""
 
 from collections.abc import Callable
 
@@ -9,18 +9,18 @@
 from tidegrade import logs
 from tidegrade import ports
 
-#: Pauses between the first looks, in seconds, while nobody is heard; the
-#: first is as long as links and heartbeats take on a loaded VM.
-FIRST_PAUSES = (0.8, 1.0, 2.0)
+#: Pauses after the first scans while no heartbeat arrives, in seconds. The
+#: first is as long as connections and heartbeats take on a loaded VM.
+FIRST_SCAN_PAUSES_S = (0.8, 1.0, 2.0)
 
 
 class MembersTask:
-    """Reads the registrations, once this proxy has its own.
+    """Scans the registrations of all proxies once this one is registered.
 
-    Of any two proxies the one that registers later finds the other, and is
-    heard by it from then on, so one look is enough where others live. The
-    rare ones after it find those whose heartbeats were lost. After each
-    look ``looked`` is called.
+    Of any two proxies the one that registers later finds the other, which
+    gets its heartbeats from then on, so one scan is enough if other proxies
+    are alive. Rare later scans find proxies whose heartbeats were lost.
+    ``on_scanned`` is called after each scan. ``interval`` is in seconds.
     """
 
     def __init__(
@@ -28,31 +28,31 @@
         table: ports.Table,
         peers: _peers_task.PeersTask,
         interval: float,
-        looked: Callable[[], None],
+        on_scanned: Callable[[], None],
     ) -> None:
         self._table = table
         self._peers = peers
         self._interval = interval
-        self._looked = looked
+        self._on_scanned = on_scanned
         self._registered = anyio.Event()
 
     def registered(self) -> None:
-        """Say that this proxy can be found by others."""
+        """Allow the scans, since other proxies can now find this one."""
         self._registered.set()
 
     async def run(self) -> None:
-        """Look until cancelled."""
+        """Scan the registrations until cancelled."""
         await self._registered.wait()
-        for pause in FIRST_PAUSES:
-            await self._look()
+        for pause in FIRST_SCAN_PAUSES_S:
+            await self._scan()
             await anyio.sleep(pause)
             if self._peers.alive():
                 break
         while True:
             await anyio.sleep(self._interval)
-            await self._look()
+            await self._scan()
 
-    async def _look(self) -> None:
+    async def _scan(self) -> None:
         listed = await self._table.scan(_rows.HOLDERS)
         if listed.is_err():
             logs.write(logs.LogEvent.PLATFORM_LOST, reason=listed.unwrap_err())
@@ -78,4 +78,4 @@
                 )
             )
         self._peers.learn_vms(vms)
-        self._looked()
+        self._on_scanned()
--- a/src/tidegrade/session_proxy/_peer_service.py
+++ b/src/tidegrade/session_proxy/_peer_service.py
@@ -1,4 +1,4 @@
-"""What other proxies may ask of this one."""
+"""Handling of messages from other proxies."""
 
 from collections.abc import Callable
 
@@ -16,14 +16,15 @@
 from tidegrade.session_proxy import _endpoint_list
 from tidegrade.session_proxy import _platform_watch
 
-#: Said of a request for a group that this proxy does not serve (any more).
-_ELSEWHERE = core.Answer(core.Outcome.NOT_RUN, code=core.Code.DRAINING)
-#: Kinds of request whose success is an acknowledgement.
+#: Answer to a request for a group that this proxy does not serve, or no longer
+#: serves.
+_NOT_SERVED = core.Answer(core.Outcome.NOT_RUN, code=core.Code.DRAINING)
+#: Kinds of request whose success acknowledges a write.
 _ACKNOWLEDGED = frozenset({core.Kind.WRITE, core.Kind.COMMIT})
 
 
 class PeerService:
-    """Answers the messages of other proxies."""
+    """Handles the messages of other proxies."""
 
     def __init__(
         self,
@@ -46,18 +47,18 @@
         self._quotas = quotas
         self._next_number = next_number
         self._clock = clock
-        #: Requests of other proxies that are being served.
+        #: Number of forwarded requests that are being served.
         self.in_flight = 0
 
     async def handle(
         self, body: messages.PeerBody
     ) -> messages.PeerBody | None:
-        """Take a message and give the answer, if it wants one."""
+        """Handle a message and return its answer; None if it has none."""
         if isinstance(body, messages.Forward):
             return await self._serve(body)
-        return self._take(body)
+        return self._dispatch(body)
 
-    def _take(self, body: messages.PeerBody) -> messages.PeerBody | None:
+    def _dispatch(self, body: messages.PeerBody) -> messages.PeerBody | None:
         if isinstance(body, messages.Heartbeat):
             self._peers.heard(body)
         elif isinstance(body, messages.Digest):
@@ -81,11 +82,11 @@
         return None
 
     async def _serve(self, body: messages.Forward) -> messages.Forwarded:
-        """Serve a request that came through another proxy."""
+        """Serve a request that another proxy forwarded."""
         group = self._groups.get(body.key)
-        keeps = core.owner_of(body.request.txn) == self._proxy_id
-        if group is None or not (group.serving or keeps):
-            return messages.Forwarded(_ELSEWHERE)
+        owns_txn = core.owner_of(body.request.txn) == self._proxy_id
+        if group is None or not (group.serving or owns_txn):
+            return messages.Forwarded(_NOT_SERVED)
         req = core.shifted_request(
             body.request, self._clock.now(), self._next_number()
         )
@@ -105,7 +106,8 @@
     def _give_up(self, body: messages.GiveUp) -> messages.GaveUp | None:
         group = self._groups.get(body.key)
         if group is None:
-            # Without the group there is no permission, but it may come.
+            # This proxy holds no permission without the group, but may get
+            # the group and a permission later, so it confirms nothing.
             return None
         group.give_up(body.below)
         return messages.GaveUp(body.key, body.below, self._proxy_id)
--- a/src/tidegrade/session_proxy/_platform_watch.py
+++ b/src/tidegrade/session_proxy/_platform_watch.py
@@ -1,8 +1,8 @@
-"""Who looks at the platform for all proxies.
+"""Which proxies read the platform on behalf of all.
 
-Calls to the platform are few and dear, so a few proxies look at it and the
-others ask them. What they have to tell goes with the heartbeats: the version
-of the configuration in force, and whether the platform answers them.
+Calls to the platform are limited and expensive, so a few proxies, the
+watchers, read it and the others ask them. Heartbeats carry the version of the
+configuration in force and whether the platform answers the sender.
 """
 
 from collections.abc import Callable
@@ -16,21 +16,22 @@
 from tidegrade.peers import _messages as messages
 from tidegrade import ports
 
-#: Proxies that look at the platform; it may turn some of them away, or
-#: they may stand still.
+#: Number of watchers: more than one, since the platform may refuse some of
+#: them, or they may be stopped.
 WATCHERS = 3
-#: What the watchers are chosen for, in the order of all proxies.
+#: Key of the rendezvous hash that chooses the watchers. All builds must agree
+#: on it.
 WATCHED = 'platform'
-#: Pause between looks at what the others have, in seconds: about half of
-#: the pause between their heartbeats.
-LOOK = 0.25
-#: How long a proxy that the platform did not answer leaves the watch to
-#: others, in seconds, before it may try again.
-BLIND_FOR = 8.0
+#: Interval between checks of other proxies' heartbeats, in seconds: about half
+#: of a heartbeat interval.
+CHECK_INTERVAL_S = 0.25
+#: How long a proxy that the platform did not answer leaves watching to other
+#: proxies before it may try again, in seconds.
+BLIND_FOR_S = 8.0
 
 
 class PlatformWatch:
-    """Takes its turn at the watch, and gives others what it has."""
+    """Watches the platform in turn and shares the configuration."""
 
     def __init__(
         self,
@@ -52,52 +53,56 @@
 
     @property
     def watching(self) -> bool:
-        """Tell whether this proxy looks at the platform for the others."""
+        """Whether this proxy reads the platform on behalf of all."""
         return self.turn < WATCHERS
 
     @property
     def blind(self) -> bool:
-        """Tell whether the platform does not answer this proxy."""
+        """Whether the platform does not answer this proxy."""
         return anyio.current_time() < self._blind_until
 
     async def run(self) -> None:
-        """Keep up with who watches, until cancelled."""
+        """Update the choice of watchers until cancelled."""
         while True:
-            self._take_turns()
+            self._update_turn()
             self._check_age()
-            await anyio.sleep(LOOK)
+            await anyio.sleep(CHECK_INTERVAL_S)
 
     def watchers(self) -> list[str]:
-        """Give the other proxies that watch, the first in turn first."""
-        seeing = [p.beat.proxy for p in self._peers.alive() if _sees(p)]
-        return list(core.first_ones(WATCHED, seeing, WATCHERS))
+        """Return the other proxies that watch, in the order of their turns."""
+        candidates = [
+            p.beat.proxy for p in self._peers.alive() if _can_read_platform(p)
+        ]
+        return list(core.first_ones(WATCHED, candidates, WATCHERS))
 
     def adopted(self) -> None:
-        """Tell the others at once that there is a configuration.
+        """Announce a new configuration by an immediate heartbeat.
 
-        Relays do, too: their failure domains get it from them.
+        Only watchers and relays send it; a relay's failure domain gets the
+        configuration from the relay.
         """
         if self.watching or self._peers.is_relay():
             self._peers.beat_now()
 
     def answer(self, question: messages.AskConfig) -> messages.ConfigContent:
-        """Give another proxy the configuration that is in force here."""
+        """Return the configuration that is in force here."""
         ref = core.ConfigRef(self._version(), question.ref.sha256)
         return messages.ConfigContent(ref, self._directory.document)
 
     def config_age(self) -> float | None:
-        """Give how long ago the configuration was known to be the newest.
+        """Return the age of the configuration in seconds; None if unknown.
 
-        None if that isn't known; in seconds.
+        It is the time since the configuration was last known to be the
+        newest.
         """
         now = self._clock.now()
-        self._note_ages(now)
+        self._record_versions(now)
         return self._age.age(now)
 
-    # Whether what is in force is the newest -------------------------------
+    # Age of the configuration ---------------------------------------------
 
-    def _note_ages(self, now: float) -> None:
-        """Take in what the platform and the others showed."""
+    def _record_versions(self, now: float) -> None:
+        """Record which versions the platform and other proxies reported."""
         seen = self._directory.seen
         if seen is not None:
             self._age.told(seen.version, now - seen.age, now)
@@ -108,13 +113,13 @@
         self._age.adopted(self._version())
 
     def _check_age(self) -> None:
-        """Read the platform if nobody shows what the newest version is.
+        """Read the platform if no proxy reports the newest version.
 
-        Whatever goes wrong with the watch and with the questions to others,
-        the configuration is in force in time wherever the platform answers.
+        This puts a configuration in force in time at each proxy that the
+        platform answers, even if watching or requests to other proxies fail.
         """
         now = self._clock.now()
-        self._note_ages(now)
+        self._record_versions(now)
         early = not self.blind and self.turn < 2 * WATCHERS
         if not self._age.must_read(early, now):
             return
@@ -129,14 +134,14 @@
 
     # Turns ----------------------------------------------------------------
 
-    def _take_turns(self) -> None:
+    def _update_turn(self) -> None:
         was_blind = self.blind
         if self.watching and not self._directory.answers:
-            self._blind_until = anyio.current_time() + BLIND_FOR
+            self._blind_until = anyio.current_time() + BLIND_FOR_S
         if self.blind != was_blind:
             self._peers.beat_now()
         was_watching = self.watching
-        self.turn = self._turn()
+        self.turn = self._rank_among_watchers()
         if self.watching != was_watching:
             self._log_turn()
         self._directory.watch(self.watching)
@@ -151,29 +156,32 @@
             turn=self.turn,
             blind=self.blind,
             others_alive=len(alive),
-            others_seeing=sum(map(_sees, alive)),
+            others_seeing=sum(map(_can_read_platform, alive)),
         )
 
-    def _turn(self) -> int:
-        """Give this proxy's place among those that the platform answers.
+    def _rank_among_watchers(self) -> int:
+        """Return this proxy's rank among those that the platform answers.
 
-        Whoever is not blind counts as one of them, also alone: six of seven
-        left the watch for 8 s to the one that took itself for none of them.
-        Where the platform answers nobody, all keep to their usual places.
+        A proxy that is not blind counts itself, even if it is the only one.
+        Without this, when six of seven proxies leave watching to the seventh
+        for 8 s, the seventh does not start to watch. If the platform answers
+        no proxy, all keep their usual ranks.
         """
         if not self._peers.has_looked:
-            # Else all that start together would watch, and tell all.
+            # Otherwise all proxies that start together would watch and
+            # announce what they read.
             return WATCHERS
         alive = self._peers.alive()
-        others = [p.beat.proxy for p in alive if _sees(p)]
+        others = [p.beat.proxy for p in alive if _can_read_platform(p)]
         if self.blind and others:
             return WATCHERS
         if self.blind:
             others = [p.beat.proxy for p in alive]
-        # Else all that start together would watch until they are heard.
+        # Otherwise all proxies that start together would watch until their
+        # first heartbeats arrive.
         starting = self._peers.starting()
         return core.rank(WATCHED, self._spot.proxy, [*others, *starting])
 
 
-def _sees(peer: _roster.Peer) -> bool:
+def _can_read_platform(peer: _roster.Peer) -> bool:
     return not peer.beat.blind and not peer.beat.draining
--- a/src/tidegrade/session_proxy/_proxy.py
+++ b/src/tidegrade/session_proxy/_proxy.py
@@ -1,4 +1,4 @@
-"""Wires the session program and runs it to its end."""
+"""Creates the parts of the session program, connects and runs them."""
 
 import itertools
 import os
@@ -25,7 +25,7 @@
 from tidegrade import ports
 from tidegrade.session_proxy import _accounts
 from tidegrade.session_proxy import _config_fetch
-from tidegrade.session_proxy import _ending
+from tidegrade.session_proxy import _drain
 from tidegrade.session_proxy import _endpoint_list
 from tidegrade.session_proxy import _groups
 from tidegrade.session_proxy import _homes
@@ -39,16 +39,19 @@
 from tidegrade import tenants
 
 #: Pause after a failed read of the configuration, in seconds.
-CATALOGUE_RETRY = 0.3
-#: Pause between looks which groups to serve, in seconds: about one
-#: heartbeat.
-HOMES_LOOK = 0.5
-#: Pause between looks whether the failure domain is cut off, in seconds.
-ISOLATION_LOOK = 0.1
+CATALOGUE_RETRY_S = 0.3
+#: Interval between checks of which groups to serve, in seconds: about one
+#: heartbeat interval.
+HOMES_CHECK_INTERVAL_S = 0.5
+#: Interval between checks whether the failure domain is isolated, in seconds.
+ISOLATION_CHECK_INTERVAL_S = 0.1
 
 
 class SessionProxy:
-    """One run of the program; it serves the sessions that doors bring."""
+    """One run of the session program.
+
+    It serves the sessions of the connections that the listener accepts.
+    """
 
     def __init__(
         self, cfg: _settings.ProxySettings, outside: _settings.Outside
@@ -59,7 +62,7 @@
         self._proxy_id = f'{cfg.name}.{self._rng.getrandbits(48):012x}'
         self._numbers = itertools.count(1)
         self._catalogue: sessions.Catalogue | None = None
-        self._list = _groups.GroupList(
+        self._group_list = _groups.GroupList(
             cfg.suspect_after_s, cfg.report_interval_s, cfg.settle_s
         )
         self._groups: dict[messages.GroupKey, _group_task.GroupTask] = {}
@@ -68,16 +71,16 @@
         self._is_registered = False
         self._isolation = core.Isolation()
         self._stopping = anyio.Event()
-        self._ending = _ending.Ending(outside, self._serves_others)
+        self._drain = _drain.Drain(outside, self._is_serving_others)
         self._tasks: anyio.abc.TaskGroup | None = None
         self._session_deps = self._make_session_deps(sessions.Unlimited())
 
-    # What doors ask -------------------------------------------------------
+    # Called by the listener -----------------------------------------------
 
     def open(
         self, database: str, caller: tenants.Caller
     ) -> result.Result[sessions.Session, core.Code]:
-        """Begin a session on a database, or say why not."""
+        """Return a new session on a database, or the code of its refusal."""
         found = self._access_of(database, caller)
         if found.is_err():
             code = sessions.refusal(
@@ -102,7 +105,7 @@
     ) -> sessions.SessionDeps:
         return sessions.SessionDeps(
             access_of=self._access_of,
-            group_of=self._routed,
+            group_of=self._route_of,
             next_number=lambda: next(self._numbers),
             now=self._outside.clock.now,
             note=_accounts.Accounts(self._metrics).note,
@@ -110,7 +113,7 @@
         )
 
     def _has_tenants(self) -> bool:
-        """Tell whether connections belong to tenants."""
+        """Return whether the configuration in force has tenants."""
         return (
             self._catalogue is not None and self._catalogue.keyring is not None
         )
@@ -129,17 +132,17 @@
     def _group_of(self, name: str) -> _group_task.GroupTask | None:
         return self._groups.get(messages.GroupKey(_groups.SITE, name))
 
-    def _routed(self, name: str) -> _routed_group.RoutedGroup | None:
+    def _route_of(self, name: str) -> _routed_group.RoutedGroup | None:
         return self._routes.get(name)
 
-    # Life -----------------------------------------------------------------
+    # Start, run and stop --------------------------------------------------
 
     async def run(self) -> None:
-        """Serve until a signal asks to stop."""
+        """Serve until SIGTERM, then drain and stop."""
         logs.write(logs.LogEvent.STARTED)
         key = await _peer_key.shared_key(self._outside.table, self._rng)
         deps = self._make_deps(key)
-        peers = _peers_task.PeersTask(deps, self._peer_says)
+        peers = _peers_task.PeersTask(deps, self._handle_peer_message)
         peers.beat_of = self._heartbeat
         self._deps, self._peers = deps, peers
         self._evidence = _evidence_task.EvidenceTask(
@@ -165,7 +168,7 @@
             self._outside.directory,
             peers,
             self._watch,
-            self._learn_endpoints,
+            self._apply_endpoint_list,
             lambda: not self._all_have_rows(),
         )
         quotas = _quotas.Quotas(
@@ -192,13 +195,13 @@
         self._homes = _homes.HomeMap(
             spot, peers, deps.clock, self._has_tenants
         )
-        registration = _registration.Registration(deps, self._registered)
+        registration = _registration.Registration(deps, self._on_registered)
         self._generations = _generation_watch.GenerationWatch(
-            deps.table, peers, deps.rng, self._store_returned
+            deps.table, peers, deps.rng, self._on_store_restored
         )
         self._registration = registration
         self._members = _members.MembersTask(
-            deps.table, peers, self._cfg.members_poll_s, self._share_out
+            deps.table, peers, self._cfg.members_poll_s, self._update_sharers
         )
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
@@ -220,10 +223,10 @@
             )
             await tasks.start(self._outside.door.serve, self)
             await self._stopping.wait()
-            # Other proxies hand over nothing more from now on.
+            # The heartbeat tells other proxies to forward no more requests.
             peers.beat_now()
             quotas.look()
-            await self._ending.wind_down(self._cfg)
+            await self._drain.drain_sessions(self._cfg)
             with anyio.move_on_after(0.3):
                 await registration.withdraw()
             tasks.cancel_scope.cancel()
@@ -257,7 +260,7 @@
                     self._reload()
 
     def _reload(self) -> None:
-        """Take over settings that changed; unusable ones change nothing."""
+        """Apply changed settings; invalid settings change nothing."""
         found = self._outside.read_settings()
         if found.is_err():
             logs.write(
@@ -270,36 +273,36 @@
             restart_needed=self._cfg != found.unwrap(),
         )
 
-    def _serves_others(self) -> bool:
-        """Tell whether a request or transaction is not finished."""
+    def _is_serving_others(self) -> bool:
+        """Return whether a forwarded request or transaction is unfinished."""
         if self._peer_service.in_flight:
             return True
         return any(g.machine.transactions for g in self._groups.values())
 
     async def _watch_isolation(self) -> None:
-        """Leave callers to other failure domains while cut off."""
+        """Move callers to other failure domains while this one is isolated."""
         while True:
             now = self._outside.clock.now()
             permitted = self._is_permitted(now)
             if self._isolation.observe(
                 self._peers.heard_outside(), permitted, now
             ):
-                self._isolation_changed(permitted)
+                self._on_isolation_changed(permitted)
             self._outside.door.close_refused(
                 self._isolation.refused_should_go(now)
             )
             all_go = self._isolation.all_should_go(now)
-            self._outside.door.close_answered(all_go or self._ending.closing)
+            self._outside.door.close_answered(all_go or self._drain.closing)
             if all_go:
                 self._outside.door.close_resting()
-            await anyio.sleep(ISOLATION_LOOK)
+            await anyio.sleep(ISOLATION_CHECK_INTERVAL_S)
 
     def _is_permitted(self, now: float) -> bool:
-        """Tell whether the permission of some group is held."""
+        """Return whether this proxy may acknowledge for any group."""
         machines = (group.machine for group in self._groups.values())
         return any(machine.may_acknowledge(now) for machine in machines)
 
-    def _isolation_changed(self, permitted: bool) -> None:
+    def _on_isolation_changed(self, permitted: bool) -> None:
         cut_off = self._isolation.cut_off
         logs.write(
             logs.LogEvent.CUT_OFF if cut_off else logs.LogEvent.IN_TOUCH,
@@ -320,7 +323,7 @@
         )
 
     def _all_have_rows(self) -> bool:
-        """Tell whether every group that this proxy serves has its row."""
+        """Return whether every group that this proxy serves has its row."""
         if self._catalogue is None:
             return False
         groups = [self._group_of(name) for name in self._catalogue.groups]
@@ -329,7 +332,7 @@
         )
 
     def _metrics_page(self) -> bytes:
-        """Give the metrics as text, with gauges of this moment."""
+        """Return the metrics as text, with current values of the gauges."""
         for key, group in self._groups.items():
             labels = {'site': key.site, 'group': key.group}
             machine = group.machine
@@ -357,26 +360,30 @@
             self._catalogue = found
             self._metrics.config_version.set({}, found.version)
             logs.write(logs.LogEvent.CONFIG_ADOPTED, version=found.version)
-            self._adopt()
+            self._update_groups()
             self._watch.adopted()
 
     def _config_version(self) -> int:
-        """Give the version in force; 0 before the first."""
+        """Return the configuration version in force; 0 before the first."""
         return self._catalogue.version if self._catalogue else 0
 
     def _config_age_ms(self) -> int | None:
-        """Give how long ago the configuration was known to be the newest."""
+        """Return the age of the configuration in ms; None if unknown.
+
+        It is the time since the configuration was last known to be the
+        newest.
+        """
         age = self._watch.config_age()
         return None if age is None else round(age * 1000)
 
-    def _learn_endpoints(
+    def _apply_endpoint_list(
         self, entries: tuple[ports.EndpointEntry, ...]
     ) -> None:
-        self._list.learn(entries, self._outside.clock.now())
-        self._adopt()
+        self._group_list.learn(entries, self._outside.clock.now())
+        self._update_groups()
 
-    def _adopt(self) -> None:
-        """Bring the groups in line with the configuration and the list."""
+    def _update_groups(self) -> None:
+        """Update the groups from the configuration and the endpoint list."""
         catalogue = self._catalogue
         if catalogue is None:
             return
@@ -384,8 +391,8 @@
             known = self._group_of(entry.name)
             if known is not None and known.machine.row is not None:
                 members = known.machine.row.members
-                self._list.learn_members(entry.name, members)
-            cfg = self._list.config_of(
+                self._group_list.learn_members(entry.name, members)
+            cfg = self._group_list.config_of(
                 entry, catalogue, self._outside.clock.now()
             )
             if cfg is None:
@@ -394,12 +401,14 @@
             if key not in self._groups:
                 self._start_group(key, cfg)
             group = self._groups[key]
-            group.set_config(cfg, 0, self._sharers(entry.name, cfg))
-            group.post(core.LeavingChanged(self._list.leaving(entry.name)))
-            group.gone = self._list.gone(entry.name)
+            group.set_config(cfg, 0, self._sharer_count(entry.name, cfg))
+            group.post(
+                core.LeavingChanged(self._group_list.leaving(entry.name))
+            )
+            group.gone = self._group_list.gone(entry.name)
 
-    def _sharers(self, name: str, cfg: config.Group) -> int:
-        """Give how many proxies share the connections of a group.
+    def _sharer_count(self, name: str, cfg: config.Group) -> int:
+        """Return the number of proxies that share a group's connections.
 
         It is 0 if this proxy is not one of them.
         """
@@ -407,28 +416,33 @@
         return found.count if found.is_home else 0
 
     async def _watch_homes(self) -> None:
-        """Take and leave groups as other proxies come and go."""
+        """Update which groups are served as proxies join and leave."""
         while True:
-            await anyio.sleep(HOMES_LOOK)
-            self._share_out()
+            await anyio.sleep(HOMES_CHECK_INTERVAL_S)
+            self._update_sharers()
             if not self._all_have_rows():
-                # Time alone lets a list settle, and then a first primary be
-                # named, also if nothing new is heard.
-                self._adopt()
+                # A first primary is named once the endpoint list has settled.
+                # That depends on time alone, so it is checked here even if no
+                # new list arrives.
+                self._update_groups()
 
-    def _share_out(self) -> None:
-        """Take and leave groups by which proxies there are now."""
+    def _update_sharers(self) -> None:
+        """Update which groups are served from the proxies known now."""
         for name in list(self._routes):
             group = self._group_of(name)
             assert group is not None
             cfg = group.machine.cfg
-            sharers = self._sharers(name, cfg)
+            sharers = self._sharer_count(name, cfg)
             if sharers != group.sharers:
                 group.set_config(cfg, 0, sharers)
 
     def _start_group(self, key: messages.GroupKey, cfg: config.Group) -> None:
         task = _group_task.GroupTask(
-            key, cfg, self._sharers(key.group, cfg), self._deps, self._peers
+            key,
+            cfg,
+            self._sharer_count(key.group, cfg),
+            self._deps,
+            self._peers,
         )
         self._groups[key] = task
         forwarding = _routed_group.Forwarding(
@@ -440,14 +454,14 @@
         if self._is_registered:
             task.post(core.Registered(True))
 
-    def _registered(self) -> None:
+    def _on_registered(self) -> None:
         self._is_registered = True
         self._members.registered()
         for group in self._groups.values():
             group.post(core.Registered(True))
 
-    def _store_returned(self) -> None:
-        """Look after what this proxy had written to the platform's table."""
+    def _on_store_restored(self) -> None:
+        """Check the rows that this proxy wrote after the store is restored."""
         self._registration.look_again()
         for group in self._groups.values():
             group.read_row()
@@ -470,7 +484,7 @@
             ),
         )
 
-    async def _peer_says(
+    async def _handle_peer_message(
         self, body: messages.PeerBody
     ) -> messages.PeerBody | None:
         return await self._peer_service.handle(body)
--- a/src/tidegrade/session_proxy/_settings.py
+++ b/src/tidegrade/session_proxy/_settings.py
@@ -1,4 +1,4 @@
-"""Settings of the session program, and the outside it runs before."""
+"""Settings of the session program, and the adapters that it uses."""
 
 from collections.abc import Callable
 
@@ -11,14 +11,14 @@
 
 @attrs.frozen
 class ProxySettings:
-    """What one process of the session program must know.
+    """The settings of one process of the session program.
 
-    ``host`` and ``peer_port`` are where other proxies reach this one.
-    Times are in seconds. A configuration must be in force everywhere
-    ``config_within_s`` after its acceptance. Endpoints have all registered
-    once their list has not grown for ``settle_s``. On a request to stop, the
-    balancer is given ``unready_s`` to notice, and all must have ended after
-    ``grace_s``.
+    ``host`` and ``peer_port`` are the address for other proxies. Times are in
+    seconds. A configuration must be in force on all proxies within
+    ``config_within_s`` of its acceptance. All endpoints are taken as
+    registered once their list has not grown for ``settle_s``. After SIGTERM
+    the load balancer has ``unready_s`` to notice that the proxy is not ready,
+    and the process must end within ``grace_s``.
     """
 
     name: str
@@ -38,21 +38,22 @@
     tick_s: float = 0.05
 
 
-#: Settings that hold for the life of a process: others know it by them.
-IDENTITY = ('name', 'domain', 'host', 'peer_port')
+#: Settings that a reload does not change: other proxies know the process by
+#: them.
+IDENTITY_SETTINGS = ('name', 'domain', 'host', 'peer_port')
 
 
 def adopt(known: ProxySettings, found: ProxySettings) -> ProxySettings:
-    """Give the settings to go on with: the new ones, but not identity."""
-    kept = {name: getattr(known, name) for name in IDENTITY}
+    """Return the reloaded settings with the known identity settings."""
+    kept = {name: getattr(known, name) for name in IDENTITY_SETTINGS}
     return attrs.evolve(found, **kept)
 
 
 @attrs.frozen
 class Outside:
-    """The adapters through which the program meets everything else.
+    """The adapters to everything outside the program.
 
-    ``read_settings`` gives the settings as they stand now.
+    ``read_settings`` returns the current settings, or a list of problems.
     """
 
     endpoints: ports.Endpoints
--- a/tests/session_proxy/test_accounts.py
+++ b/tests/session_proxy/test_accounts.py
@@ -1,4 +1,4 @@
-"""What the metrics tell of tenants, and how many they name."""
+"""Metrics of session commands: tenant labels and their bound."""
 
 import pytest
 
@@ -28,7 +28,7 @@
     return content.decode()
 
 
-def test_a_tenant_s_refusals_are_counted_under_its_name(metrics):
+def test_refusals_of_a_tenant_are_counted_under_its_name(metrics):
     accounts = _accounts.Accounts(metrics)
     accounts.note(account('acme', core.Code.TENANT_LIMIT))
     (line,) = [
@@ -45,12 +45,12 @@
     assert 'tenant="db"' in page(metrics)
 
 
-def test_a_page_names_a_bounded_number_of_tenants(metrics):
+def test_number_of_tenant_labels_is_bounded(metrics):
     accounts = _accounts.Accounts(metrics)
-    for number in range(3 * _accounts.MOST_LABELS):
+    for number in range(3 * _accounts.MAX_TENANT_LABELS):
         accounts.note(account(f't{number}'))
     shown = page(metrics)
     assert shown.count('tidegrade_requests_total{') <= (
-        _accounts.MOST_LABELS + 1
+        _accounts.MAX_TENANT_LABELS + 1
     )
     assert 'tenant="others"' in shown
--- a/tests/session_proxy/test_configuration_spreads.py
+++ b/tests/session_proxy/test_configuration_spreads.py
@@ -1,15 +1,15 @@
-"""How an accepted configuration comes to every proxy in time.
-
-Three proxies read the configuration and the others get it from them. On 71
-VMs with links of 5 Mbit/s a version of 330 KB, which takes such a link half
-a second, was in force at the three 0.6 s after its acceptance and at 66
-others never: they gave each other 0.3 s for the answer, dropped it when it
-came and asked the same proxy again, until the links of the three carried
-nothing else ("kb_out" 430 to 655 a second for ten seconds). On seven VMs the
-feeds of three watchers timed out, and those of the three after them were
-reset 0.2 s later. All six left the watch to the seventh, which counted only
-others as able to see and stayed in its usual place: event 1208 six times,
-then none of 1207 for 7.5 s, and two versions unheard of for as long.
+"""An accepted configuration reaches every proxy in time.
+
+Three watchers read the configuration and the other proxies get it from them.
+The tests guard against two failures. On 71 VMs with links of 5 Mbit/s a
+version of 330 KB takes half a second per link. If proxies wait 0.3 s for an
+answer, drop it when it comes late and ask the same proxy again, the watchers
+have it in force after 0.6 s, but 66 others never: repeated answers, 430 to
+655 KB/s for ten seconds ("kb_out"), fill the watchers' links. On seven VMs the
+feeds of three watchers time out, and 0.2 s later those of the next three are
+reset. All six leave watching to the seventh (event 1208 six times); if it
+counts only the others as able to read the platform, it keeps its usual rank,
+and no proxy watches (event 1207) or hears of two new versions for 7.5 s.
 """
 
 import contextlib
@@ -33,11 +33,11 @@
 pytestmark = pytest.mark.anyio
 
 HOST = '127.0.0.1'
-#: In which a configuration must be in force everywhere, in seconds.
+#: Time within which a configuration must be in force everywhere, in seconds.
 IN_FORCE_WITHIN = 5.0
-#: Bytes a second that a link of 5 Mbit/s carries.
+#: Bytes per second of a link of 5 Mbit/s.
 SLOW = 640_000
-#: No test moves as much as this in its time.
+#: A rate in bytes per second that no test reaches.
 FAST = 1e9
 
 
@@ -48,7 +48,7 @@
 
 @pytest.fixture
 def document() -> bytes:
-    """Give a configuration of 1,564 routes: some 330 KB."""
+    """Return a configuration of 1,564 routes: about 330 KB."""
     rng = random.Random(7)
 
     def name() -> str:
@@ -73,7 +73,7 @@
 
 
 class Clock:
-    """The clock of this process."""
+    """The clock of the event loop."""
 
     def now(self) -> float:
         return anyio.current_time()
@@ -81,10 +81,10 @@
 
 @attrs.define(eq=False)
 class Directory:
-    """The platform as one proxy sees it, and what it was offered.
+    """The platform as seen by one proxy; records the offered document.
 
-    It answers nobody who watches while ``fails``. Who reads it gets what is
-    ``stored``, if anything.
+    It does not answer watchers while ``fails`` is set. A read returns
+    ``stored`` if that is not empty.
     """
 
     document: bytes = b''
@@ -109,7 +109,7 @@
 
 @attrs.define(eq=False)
 class Proxy:
-    """One proxy: its peers, what it knows, and whether it answers."""
+    """One proxy; it does not answer requests while ``mute`` is set."""
 
     name: str
     domain: str
@@ -144,7 +144,7 @@
 
 
 class Fleet:
-    """Proxies in one process; each is reached through a link of its own."""
+    """Proxies in one process, each behind a link of its own."""
 
     def __init__(self, tasks: anyio.abc.TaskGroup) -> None:
         self._tasks = tasks
@@ -152,7 +152,7 @@
         self._ports: list[int] = []
 
     async def add(self, domain: str, rate: float = FAST) -> Proxy:
-        """Start a proxy that nobody knows of yet."""
+        """Start a proxy that no other proxy knows yet."""
         number = len(self.proxies)
         port = edge.free_ports(1)[0]
         relay = edge.Relay(port, rate)
@@ -162,8 +162,8 @@
         rng = random.Random(number)
         deps = _deps.Deps(name, domain, cfg, Clock(), None, None, rng)
         directory = Directory()
-        made: list[Proxy] = []
-        peers = _peers_task.PeersTask(deps, lambda b: made[0].handle(b))
+        created: list[Proxy] = []
+        peers = _peers_task.PeersTask(deps, lambda b: created[0].handle(b))
         watch = _platform_watch.PlatformWatch(
             _roster.Spot(name, domain),
             directory,
@@ -180,7 +180,7 @@
             rng,
         )
         proxy = Proxy(name, domain, directory, peers, watch, fetch)
-        made.append(proxy)
+        created.append(proxy)
         peers.has_looked = True
         peers.beat_of = lambda: proxy.beat(relay.port)
         self.proxies.append(proxy)
@@ -188,8 +188,8 @@
         await self._tasks.start(peers.run)
         return proxy
 
-    async def meet(self) -> None:
-        """Let all know of each other, and begin to watch."""
+    async def connect(self) -> None:
+        """Exchange heartbeats among all proxies and start their tasks."""
         for proxy in self.proxies:
             for other, port in zip(self.proxies, self._ports, strict=True):
                 if other is not proxy:
@@ -208,68 +208,74 @@
 
 @contextlib.asynccontextmanager
 async def in_force(proxies: list[Proxy], within: float):
-    """Wait until all proxies have the second version, or fail."""
+    """Wait until all proxies have version 2; fail after ``within`` s."""
     yield
     with anyio.fail_after(within):
         while any(p.directory.version < 2 for p in proxies):
             await anyio.sleep(0.05)
 
 
-async def test_a_large_configuration_comes_over_slow_links(fleet, document):
+async def test_large_configuration_is_fetched_over_slow_links(fleet, document):
     """Eight proxies get 330 KB from one whose link carries 640 KB a second."""
     source = await fleet.add('a', SLOW)
     others = [await fleet.add('a', SLOW) for _ in range(8)]
-    await fleet.meet()
+    await fleet.connect()
     async with in_force(others, IN_FORCE_WITHIN):
         source.directory.offer(document)
 
 
-async def test_a_source_that_does_not_answer_is_not_the_only_one(
+async def test_another_source_is_asked_if_the_first_does_not_answer(
     fleet, document
 ):
-    """The neighbour that says that it has the version answers nobody."""
+    """The nearby proxy that announces the version does not answer."""
     far = await fleet.add('b')
     near = await fleet.add('a')
     asker = await fleet.add('a')
     near.mute = True
-    await fleet.meet()
+    await fleet.connect()
     async with in_force([asker], IN_FORCE_WITHIN):
         near.directory.offer(document)
         far.directory.offer(document)
 
 
-async def test_somebody_watches_while_the_platform_answers_one(fleet):
-    """Six of seven leave the watch, since the platform answers none."""
+async def test_only_proxy_that_the_platform_answers_watches(fleet):
+    """Six of seven stop watching, since the platform does not answer."""
     for _ in range(7):
         await fleet.add('a')
     names = [proxy.name for proxy in fleet.proxies]
     *_, last = core.first_ones(_platform_watch.WATCHED, names, len(names))
-    lucky = fleet.proxies[names.index(last)]
+    reachable = fleet.proxies[names.index(last)]
     for proxy in fleet.proxies:
-        proxy.directory.fails = proxy is not lucky
-    await fleet.meet()
+        proxy.directory.fails = proxy is not reachable
+    await fleet.connect()
     with anyio.fail_after(IN_FORCE_WITHIN):
-        while not all(p.watch.blind for p in fleet.proxies if p is not lucky):
+        while not all(
+            p.watch.blind for p in fleet.proxies if p is not reachable
+        ):
             await anyio.sleep(0.05)
-        while not lucky.watch.watching:
+        while not reachable.watch.watching:
             await anyio.sleep(0.05)
 
 
-async def test_who_is_shown_nothing_reads_for_itself(fleet, document):
-    """No watcher hears of the version, and none notices that."""
+async def test_proxy_without_reports_of_a_version_reads_the_platform(
+    fleet, document
+):
+    """No watcher learns of the version or notices that it does not."""
     proxies = [await fleet.add('a') for _ in range(7)]
-    await fleet.meet()
+    await fleet.connect()
     async with in_force(proxies, IN_FORCE_WITHIN):
         for proxy in proxies:
             proxy.directory.stored = document
 
 
-async def test_who_is_shown_what_is_newest_reads_nothing(fleet, document):
-    """One proxy reads the platform, and shows the others that it does."""
+async def test_proxy_with_reports_of_the_newest_version_reads_nothing(
+    fleet, document
+):
+    """One proxy reads the platform and reports this in its heartbeats."""
     proxies = [await fleet.add('a') for _ in range(7)]
     proxies[0].directory.seen = ports.ConfigSeen(1, 0.5)
     for proxy in proxies[1:]:
         proxy.directory.stored = document
-    await fleet.meet()
+    await fleet.connect()
     await anyio.sleep(IN_FORCE_WITHIN)
     assert {proxy.directory.version for proxy in proxies} == {1}
--- a/tests/session_proxy/test_endpoint_list.py
+++ b/tests/session_proxy/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list of endpoints, as several watchers tell of it."""
+"""The endpoint list, as announced by several watchers."""
 
 import anyio
 import attrs
@@ -30,8 +30,8 @@
     )
 
 
-def test_the_same_list_is_taken_in_once(task, learned):
-    """Each watcher tells of a change at a version of its own."""
+def test_same_list_is_applied_once(task, learned):
+    """Each watcher announces a change with a version of its own."""
     raw = _structure.to_json((ENTRY,))
     for version in (7, 8, 9):
         task.heard(messages.EndpointNews(version, raw))
@@ -41,7 +41,7 @@
 
 @attrs.define
 class Platform:
-    """A directory, the only watcher, and no other proxies."""
+    """A directory and the only watcher; there are no other proxies."""
 
     listed: ports.EndpointList
     watching: bool = True
@@ -55,12 +55,12 @@
 
 
 @pytest.mark.anyio
-async def test_a_list_that_came_back_older_is_not_taken_at_once(
+async def test_list_restored_from_an_older_copy_is_not_applied_at_once(
     learned, monkeypatch
 ):
-    """It names an endpoint as ready that leaves."""
-    monkeypatch.setattr(_endpoint_list, 'FIRST_PAUSE', 0.01)
-    monkeypatch.setattr(_endpoint_list, 'RETURN_SETTLES', 0.3)
+    """The older copy lists a leaving endpoint as ready."""
+    monkeypatch.setattr(_endpoint_list, 'FIRST_WATCHER_INTERVAL_S', 0.01)
+    monkeypatch.setattr(_endpoint_list, 'RESTORE_SETTLE_S', 0.3)
     leaving = (attrs.evolve(ENTRY, leaving=True),)
     platform = Platform(ports.EndpointList(7, leaving, generation=1))
     task = _endpoint_list.EndpointListTask(
--- a/tests/session_proxy/test_first_primary.py
+++ b/tests/session_proxy/test_first_primary.py
@@ -1,12 +1,12 @@
-"""When a group that has no row yet is told its first primary.
-
-On 71 VMs that started together one of four groups got its first row 20 s
-later, and another 12 s, so that a quarter of all requests were refused until
-4 s into the traffic. A first primary is named once the list of endpoints has
-not grown for a while; but a list that says the same is taken in once, and
-nothing looked again when that while was over, save at the three proxies that
-read the list themselves. Where none of them keeps connections to the group,
-nobody made its row until the next configuration came.
+"""The first primary of a group that has no row yet.
+
+A first primary is named once the endpoint list has not grown for a while. An
+unchanged list is applied only once, so each proxy must check again when that
+time is over. If only the three watchers check again and none of them serves
+the group, no proxy writes its row until the next configuration. On 71 VMs that
+start together one of four groups then gets its first row after 20 s and
+another after 12 s, and a quarter of all requests are refused until 4 s into
+the traffic.
 """
 
 import random
@@ -29,7 +29,7 @@
 
 pytestmark = pytest.mark.anyio
 
-#: How long the list must not grow, in seconds.
+#: Time without growth after which the list has settled, in seconds.
 SETTLE = 0.3
 CATALOGUE = sessions.Catalogue(1, {}, {'g': sessions.GroupEntry('g', 20)}, 3.0)
 LEADER = ports.EndpointEntry('i1', 'g', '10.0.0.1', 80, 'a', 3, False, True)
@@ -41,7 +41,7 @@
 
 
 class Table:
-    """A table that holds nothing."""
+    """An empty table."""
 
     async def read(self, key):
         return result.Ok(None)
@@ -51,7 +51,7 @@
 
 
 class Endpoints:
-    """Endpoints that nobody reaches."""
+    """Endpoints that refuse all connections."""
 
     async def connect(self, endpoint, group, tenant):
         return result.Err(ports.ConnectProblem('away', True))
@@ -59,7 +59,7 @@
 
 @pytest.fixture
 async def proxy():
-    """Give a proxy that knows its configuration, and runs no task yet."""
+    """Return a proxy that has a configuration and runs no task yet."""
     cfg = _settings.ProxySettings(
         'vm-1', 'a', '127.0.0.1', 1, 6.0, settle_s=SETTLE
     )
@@ -73,31 +73,33 @@
         traits=core.Traits(),
         read_settings=lambda: result.Err([]),
     )
-    made = _proxy.SessionProxy(cfg, outside)
-    made._deps = made._make_deps('00' * 32)
-    made._rng = random.Random(1)
-    made._peers = _peers_task.PeersTask(made._deps, made._peer_says)
-    made._peers.has_looked = True
-    made._evidence = _evidence_task.EvidenceTask(
-        made._deps, made._peers, lambda: {}
+    created = _proxy.SessionProxy(cfg, outside)
+    created._deps = created._make_deps('00' * 32)
+    created._rng = random.Random(1)
+    created._peers = _peers_task.PeersTask(
+        created._deps, created._handle_peer_message
+    )
+    created._peers.has_looked = True
+    created._evidence = _evidence_task.EvidenceTask(
+        created._deps, created._peers, lambda: {}
     )
     spot = _roster.Spot('vm-1.0', 'a')
-    made._homes = _homes.HomeMap(spot, made._peers, made._deps.clock)
-    made._watch = types.SimpleNamespace(adopted=lambda: None)
-    made._catalogue = CATALOGUE
+    created._homes = _homes.HomeMap(spot, created._peers, created._deps.clock)
+    created._watch = types.SimpleNamespace(adopted=lambda: None)
+    created._catalogue = CATALOGUE
     async with anyio.create_task_group() as tasks:
-        made._tasks = tasks
-        yield made
+        created._tasks = tasks
+        yield created
         tasks.cancel_scope.cancel()
 
 
-async def test_the_first_primary_is_named_once_the_list_has_settled(proxy):
-    """The list comes once; nobody reads it here, and nothing else comes."""
-    proxy._learn_endpoints((LEADER,))
+async def test_first_primary_is_named_once_the_list_has_settled(proxy):
+    """The list arrives once; no read and no other event follows."""
+    proxy._apply_endpoint_list((LEADER,))
     group = proxy._group_of('g')
     assert group.machine.cfg.initial_primary == ''
     proxy._tasks.start_soon(proxy._watch_homes)
-    with anyio.fail_after(SETTLE + 3 * _proxy.HOMES_LOOK):
+    with anyio.fail_after(SETTLE + 3 * _proxy.HOMES_CHECK_INTERVAL_S):
         while not group.machine.cfg.initial_primary:
             await anyio.sleep(0.05)
     assert group.machine.cfg.initial_primary == '10.0.0.1:80'
--- a/tests/session_proxy/test_home_map.py
+++ b/tests/session_proxy/test_home_map.py
@@ -1,4 +1,4 @@
-"""Which groups a proxy takes for its own to serve."""
+"""Which groups a proxy serves, and which proxy serves a request."""
 
 import random
 
@@ -19,7 +19,7 @@
 
 
 class Clock:
-    """A clock that tests move."""
+    """A clock that tests advance."""
 
     at = 100.0
 
@@ -55,12 +55,12 @@
     return _homes.HomeMap(_roster.Spot('vm-1.r', 'a'), peers, clock)
 
 
-def test_who_has_not_looked_for_others_serves_nothing(homes):
-    """195 that started together each took all connections for theirs."""
+def test_proxy_that_has_not_looked_for_others_serves_nothing(homes):
+    """Otherwise each of 195 proxies started together takes all connections."""
     assert homes.of('g', CFG, False).count == 0
 
 
-def test_proxies_that_are_listed_and_starting_count(homes, peers):
+def test_listed_and_starting_proxies_count(homes, peers):
     others = range(2, 100)
     peers.learn_vms(
         [ports.Vm(f'vm-{n}.r', 'proxy', 'a', 'h', n) for n in others]
@@ -72,7 +72,7 @@
 
 
 def listed(peers, count: int = 30) -> None:
-    """Let the platform list proxies of three domains, none of them heard."""
+    """List proxies of three domains that have sent no heartbeat."""
     peers.learn_vms(
         [
             ports.Vm(f'vm-{n}.r', 'proxy', 'abc'[n % 3], 'h', n)
@@ -81,8 +81,11 @@
     )
 
 
-def test_after_a_restart_of_all_a_request_finds_its_home(homes, peers):
-    """For two seconds each was refused: no home had told what it serves."""
+def test_request_finds_its_home_after_a_restart_of_all_proxies(homes, peers):
+    """Guards against refusals for two seconds after a restart of all.
+
+    No home has reported yet which groups it serves.
+    """
     listed(peers)
     home = homes.pick(KEY, CFG, '', False, frozenset())
     assert home is not None
@@ -91,19 +94,19 @@
     assert other not in (None, home)
 
 
-def test_all_expect_the_same_home_of_a_tenant(homes, peers):
+def test_all_proxies_expect_the_same_home_of_a_tenant(homes, peers):
     listed(peers)
     chosen = homes.pick(KEY, CFG, 'acme', False, frozenset())
     found = core.expected_homes('g', CFG, peers.candidates())
     assert chosen == core.home_of_tenant('g', 'acme', found)
 
 
-def test_who_knows_of_nobody_expects_no_home(homes):
+def test_proxy_without_known_peers_expects_no_home(homes):
     assert homes.pick(KEY, CFG, '', False, frozenset()) is None
 
 
 def hear(peers, domains: str = 'abc', count: int = 6) -> None:
-    """Let proxies of these domains say that they serve the group."""
+    """Receive heartbeats of proxies in these domains for the group."""
     for n in range(2, 2 + count):
         domain = 'abc'[n % 3]
         if domain in domains:
@@ -118,11 +121,12 @@
     return homes.pick(KEY, CFG, tenant, False, frozenset())
 
 
-def test_no_home_behind_a_cut_is_asked(homes, peers, clock):
-    """A third of all tenants have their home in a domain that is cut off.
+def test_home_in_an_isolated_domain_gets_no_requests(homes, peers, clock):
+    """A third of all tenants have their home in an isolated domain.
 
-    Until its heartbeats were too old, 2.6 s, each of their requests waited
-    for an answer, and writes were in doubt.
+    If such a home is used until its heartbeats expire after 2.6 s, each
+    request of these tenants waits for an answer, and the outcome of writes is
+    unknown.
     """
     hear(peers)
     chosen = {pick(homes, f't{n}') for n in range(40)}
@@ -133,12 +137,12 @@
     assert {peers.domain_of(home) for home in chosen} == set('ab')
 
 
-def test_a_home_that_did_not_answer_is_asked_once_it_is_heard(
+def test_home_that_did_not_answer_is_used_after_its_next_heartbeat(
     homes, peers, clock
 ):
     hear(peers)
     home = pick(homes, 'acme')
-    homes.asked(home)
+    homes.forwarded(home)
     homes.answered(home, lost=True)
     clock.at += 1.1
     assert pick(homes, 'acme') != home
