--- a/src/tidegrade/session_proxy/__init__.py
+++ b/src/tidegrade/session_proxy/__init__.py
@@ -5,19 +5,19 @@
 from tidegrade import core
 from tidegrade import logs
 from tidegrade.session_proxy import _proxy
-from tidegrade.session_proxy._settings import Outside
+from tidegrade.session_proxy._settings import Adapters
 from tidegrade.session_proxy._settings import ProxySettings
 
 #: Exit status of a process that stopped because of a broken invariant.
 INVARIANT_EXIT = 70
 
-__all__ = ['INVARIANT_EXIT', 'Outside', 'ProxySettings', 'run']
+__all__ = ['INVARIANT_EXIT', 'Adapters', 'ProxySettings', 'run']
 
 
-def run(cfg: ProxySettings, outside: Outside) -> int:
+def run(cfg: ProxySettings, adapters: Adapters) -> int:
     """Run a proxy until it stops and return its exit status."""
     try:
-        anyio.run(_run, cfg, outside, backend_options={'use_uvloop': True})
+        anyio.run(_run, cfg, adapters, backend_options={'use_uvloop': True})
     except BaseExceptionGroup as group:
         broken = group.subgroup(core.InvariantBroken)
         if broken is None:
@@ -29,5 +29,5 @@
     return 0
 
 
-async def _run(cfg: ProxySettings, outside: Outside) -> None:
-    await _proxy.SessionProxy(cfg, outside).run()
+async def _run(cfg: ProxySettings, adapters: Adapters) -> None:
+    await _proxy.SessionProxy(cfg, adapters).run()
--- a/src/tidegrade/session_proxy/_accounts.py
+++ b/src/tidegrade/session_proxy/_command_records.py
@@ -28,25 +28,25 @@
 OTHERS_LABEL = 'others'
 
 
-class Accounts:
+class CommandRecorder:
     """Counts and logs the commands of sessions."""
 
     def __init__(self, metrics: _metrics.Metrics) -> None:
         self._metrics = metrics
         self._named: set[str] = set()
 
-    def note(self, account: sessions.Account) -> None:
+    def record_command(self, record: sessions.CommandRecord) -> None:
         """Record one command and its answer."""
-        answer = account.reply.answer
+        answer = record.reply.answer
         done = answer.outcome is core.Outcome.DONE
-        if done and isinstance(account.command, _SESSION_ONLY):
+        if done and isinstance(record.command, _SESSION_ONLY):
             return
-        self._count(account, answer)
-        self._log(account, answer)
+        self._count(record, answer)
+        self._log(record, answer)
 
-    def _label_of(self, account: sessions.Account) -> str:
+    def _label_of(self, record: sessions.CommandRecord) -> str:
         """Return the tenant's label, or the database's if it has no tenant."""
-        name = account.tenant or account.database
+        name = record.tenant or record.database
         if name in self._named:
             return name
         if len(self._named) >= MAX_TENANT_LABELS:
@@ -54,9 +54,11 @@
         self._named.add(name)
         return name
 
-    def _count(self, account: sessions.Account, answer: core.Answer) -> None:
-        kind = type(account.command).__name__.lower()
-        tenant = self._label_of(account)
+    def _count(
+        self, record: sessions.CommandRecord, answer: core.Answer
+    ) -> None:
+        kind = type(record.command).__name__.lower()
+        tenant = self._label_of(record)
         labels = {
             'site': 'platform',
             'tenant': tenant,
@@ -65,25 +67,27 @@
             'code': answer.code.value if answer.code else '',
         }
         self._metrics.requests.inc(labels)
-        self._metrics.class_latency.observe({'class': kind}, account.took)
+        self._metrics.class_latency.observe({'class': kind}, record.took)
         self._metrics.tenant_latency.observe(
-            {'site': 'platform', 'tenant': tenant}, account.took
+            {'site': 'platform', 'tenant': tenant}, record.took
         )
         if answer.endpoint:
             role = 'replica' if answer.from_replica else 'primary'
             self._metrics.reads.inc({'site': 'platform', 'role': role})
 
-    def _log(self, account: sessions.Account, answer: core.Answer) -> None:
+    def _log(
+        self, record: sessions.CommandRecord, answer: core.Answer
+    ) -> None:
         trace = answer.trace
         fields: dict[str, object] = {
-            'request': account.command.id,
-            'database': account.database,
-            'caller': account.caller,
-            'tenant': account.tenant,
-            'kind': type(account.command).__name__,
+            'request': record.command.id,
+            'database': record.database,
+            'caller': record.caller,
+            'tenant': record.tenant,
+            'kind': type(record.command).__name__,
             'outcome': answer.outcome.value,
-            'state': account.reply.state.value,
-            'took_ms': round(account.took * 1000, 1),
+            'state': record.reply.state.value,
+            'took_ms': round(record.took * 1000, 1),
         }
         if answer.code is not None:
             fields['code'] = answer.code.value
--- a/src/tidegrade/session_proxy/_drain.py
+++ b/src/tidegrade/session_proxy/_drain.py
@@ -24,10 +24,12 @@
     """
 
     def __init__(
-        self, outside: _settings.Outside, is_serving_others: Callable[[], bool]
+        self,
+        adapters: _settings.Adapters,
+        is_serving_others: Callable[[], bool],
     ) -> None:
-        self._door = outside.door
-        self._clock = outside.clock
+        self._door = adapters.door
+        self._clock = adapters.clock
         self._is_serving_others = is_serving_others
         #: Whether sessions are being closed because the process ends.
         self.closing = False
--- a/src/tidegrade/session_proxy/_homes.py
+++ b/src/tidegrade/session_proxy/_homes.py
@@ -32,7 +32,9 @@
         self._failed_at: dict[str, float] = {}
         self._in_flight: dict[str, int] = {}
 
-    def of(self, group: str, cfg: config.Group, draining: bool) -> core.Homes:
+    def homes_of(
+        self, group: str, cfg: config.Group, draining: bool
+    ) -> core.Homes:
         """Return whether this proxy serves a group, and how many do.
 
         A proxy that has not looked for others yet serves no group: without
--- a/src/tidegrade/session_proxy/_platform_watch.py
+++ b/src/tidegrade/session_proxy/_platform_watch.py
@@ -75,7 +75,7 @@
         ]
         return list(core.first_ones(WATCHED, candidates, WATCHERS))
 
-    def adopted(self) -> None:
+    def announce_config(self) -> None:
         """Announce a new configuration by an immediate heartbeat.
 
         Only watchers and relays send it; a relay's failure domain gets the
--- a/src/tidegrade/session_proxy/_proxy.py
+++ b/src/tidegrade/session_proxy/_proxy.py
@@ -23,7 +23,7 @@
 from tidegrade import logs
 from tidegrade.peers import _messages as messages
 from tidegrade import ports
-from tidegrade.session_proxy import _accounts
+from tidegrade.session_proxy import _command_records
 from tidegrade.session_proxy import _config_fetch
 from tidegrade.session_proxy import _drain
 from tidegrade.session_proxy import _endpoint_list
@@ -54,10 +54,10 @@
     """
 
     def __init__(
-        self, cfg: _settings.ProxySettings, outside: _settings.Outside
+        self, cfg: _settings.ProxySettings, adapters: _settings.Adapters
     ) -> None:
         self._cfg = cfg
-        self._outside = outside
+        self._adapters = adapters
         self._rng = random.Random(os.urandom(16))
         self._proxy_id = f'{cfg.name}.{self._rng.getrandbits(48):012x}'
         self._numbers = itertools.count(1)
@@ -71,9 +71,9 @@
         self._is_registered = False
         self._isolation = core.Isolation()
         self._stopping = anyio.Event()
-        self._drain = _drain.Drain(outside, self._is_serving_others)
+        self._drain = _drain.Drain(adapters, self._is_serving_others)
         self._tasks: anyio.abc.TaskGroup | None = None
-        self._session_deps = self._make_session_deps(sessions.Unlimited())
+        self._session_deps = self._make_session_deps(sessions.UnlimitedQuota())
 
     # Called by the listener -----------------------------------------------
 
@@ -83,7 +83,7 @@
         """Return a new session on a database, or the code of its refusal."""
         found = self._access_of(database, caller)
         if found.is_err():
-            code = sessions.refusal(
+            code = sessions.refusal_code(
                 found.unwrap_err(),
                 self._watch.config_age(),
                 self._cfg.config_within_s,
@@ -107,8 +107,10 @@
             access_of=self._access_of,
             group_of=self._route_of,
             next_number=lambda: next(self._numbers),
-            now=self._outside.clock.now,
-            note=_accounts.Accounts(self._metrics).note,
+            now=self._adapters.clock.now,
+            record_command=_command_records.CommandRecorder(
+                self._metrics
+            ).record_command,
             quotas=quotas,
         )
 
@@ -127,7 +129,7 @@
     def _access_of(
         self, database: str, caller: tenants.Caller
     ) -> result.Result[sessions.Access, core.Code]:
-        return sessions.access_to(self._catalogue, database, caller)
+        return sessions.resolve_access(self._catalogue, database, caller)
 
     def _group_of(self, name: str) -> _group_task.GroupTask | None:
         return self._groups.get(messages.GroupKey(_groups.SITE, name))
@@ -140,7 +142,7 @@
     async def run(self) -> None:
         """Serve until SIGTERM, then drain and stop."""
         logs.write(logs.LogEvent.STARTED)
-        key = await _peer_key.shared_key(self._outside.table, self._rng)
+        key = await _peer_key.shared_key(self._adapters.table, self._rng)
         deps = self._make_deps(key)
         peers = _peers_task.PeersTask(deps, self._handle_peer_message)
         peers.beat_of = self._heartbeat
@@ -151,7 +153,7 @@
         spot = _roster.Spot(deps.proxy_id, deps.domain)
         self._watch = _platform_watch.PlatformWatch(
             spot,
-            self._outside.directory,
+            self._adapters.directory,
             peers,
             self._config_version,
             deps.clock,
@@ -159,13 +161,13 @@
         )
         fetch = _config_fetch.ConfigFetch(
             spot,
-            self._outside.directory,
+            self._adapters.directory,
             peers,
             self._config_version,
             deps.rng,
         )
         endpoints = _endpoint_list.EndpointListTask(
-            self._outside.directory,
+            self._adapters.directory,
             peers,
             self._watch,
             self._apply_endpoint_list,
@@ -219,9 +221,9 @@
             tasks.start_soon(self._watch_isolation)
             tasks.start_soon(self._watch_homes)
             await tasks.start(
-                self._outside.pages.serve, self._ready, self._metrics_page
+                self._adapters.pages.serve, self._ready, self._metrics_page
             )
-            await tasks.start(self._outside.door.serve, self)
+            await tasks.start(self._adapters.door.serve, self)
             await self._stopping.wait()
             # The heartbeat tells other proxies to forward no more requests.
             peers.beat_now()
@@ -240,11 +242,11 @@
             peers=_deps.PeerSettings(
                 cfg.host, cfg.peer_port, key, cfg.heartbeat_s, cfg.alive_s
             ),
-            clock=self._outside.clock,
-            endpoints=self._outside.endpoints,
-            table=self._outside.table,
+            clock=self._adapters.clock,
+            endpoints=self._adapters.endpoints,
+            table=self._adapters.table,
             rng=self._rng,
-            traits=self._outside.traits,
+            traits=self._adapters.traits,
             tick_s=cfg.tick_s,
             row_interval_s=cfg.row_interval_s,
         )
@@ -261,7 +263,7 @@
 
     def _reload(self) -> None:
         """Apply changed settings; invalid settings change nothing."""
-        found = self._outside.read_settings()
+        found = self._adapters.read_settings()
         if found.is_err():
             logs.write(
                 logs.LogEvent.RELOAD_REFUSED, problems=found.unwrap_err()
@@ -282,19 +284,19 @@
     async def _watch_isolation(self) -> None:
         """Move callers to other failure domains while this one is isolated."""
         while True:
-            now = self._outside.clock.now()
+            now = self._adapters.clock.now()
             permitted = self._is_permitted(now)
             if self._isolation.observe(
                 self._peers.heard_outside(), permitted, now
             ):
                 self._on_isolation_changed(permitted)
-            self._outside.door.close_refused(
+            self._adapters.door.close_refused(
                 self._isolation.refused_should_go(now)
             )
             all_go = self._isolation.all_should_go(now)
-            self._outside.door.close_answered(all_go or self._drain.closing)
+            self._adapters.door.close_answered(all_go or self._drain.closing)
             if all_go:
-                self._outside.door.close_resting()
+                self._adapters.door.close_resting()
             await anyio.sleep(ISOLATION_CHECK_INTERVAL_S)
 
     def _is_permitted(self, now: float) -> bool:
@@ -353,7 +355,7 @@
 
     async def _watch_catalogue(self) -> None:
         while True:
-            found = await self._outside.directory.next_catalogue()
+            found = await self._adapters.directory.next_catalogue()
             known = self._catalogue
             if known is not None and found.version <= known.version:
                 continue
@@ -361,7 +363,7 @@
             self._metrics.config_version.set({}, found.version)
             logs.write(logs.LogEvent.CONFIG_ADOPTED, version=found.version)
             self._update_groups()
-            self._watch.adopted()
+            self._watch.announce_config()
 
     def _config_version(self) -> int:
         """Return the configuration version in force; 0 before the first."""
@@ -379,7 +381,7 @@
     def _apply_endpoint_list(
         self, entries: tuple[ports.EndpointEntry, ...]
     ) -> None:
-        self._group_list.learn(entries, self._outside.clock.now())
+        self._group_list.learn(entries, self._adapters.clock.now())
         self._update_groups()
 
     def _update_groups(self) -> None:
@@ -393,7 +395,7 @@
                 members = known.machine.row.members
                 self._group_list.learn_members(entry.name, members)
             cfg = self._group_list.config_of(
-                entry, catalogue, self._outside.clock.now()
+                entry, catalogue, self._adapters.clock.now()
             )
             if cfg is None:
                 continue
@@ -412,7 +414,7 @@
 
         It is 0 if this proxy is not one of them.
         """
-        found = self._homes.of(name, cfg, self._stopping.is_set())
+        found = self._homes.homes_of(name, cfg, self._stopping.is_set())
         return found.count if found.is_home else 0
 
     async def _watch_homes(self) -> None:
--- a/src/tidegrade/session_proxy/_settings.py
+++ b/src/tidegrade/session_proxy/_settings.py
@@ -50,7 +50,7 @@
 
 
 @attrs.frozen
-class Outside:
+class Adapters:
     """The adapters to everything outside the program.
 
     ``read_settings`` returns the current settings, or a list of problems.
--- a/src/tidegrade/sessions/__init__.py
+++ b/src/tidegrade/sessions/__init__.py
@@ -1,8 +1,8 @@
 """Sessions over a connection: values, prepared statements, transactions."""
 
 from tidegrade.sessions._access import Access
-from tidegrade.sessions._access import access_to
-from tidegrade.sessions._access import refusal
+from tidegrade.sessions._access import refusal_code
+from tidegrade.sessions._access import resolve_access
 from tidegrade.sessions._commands import Begin
 from tidegrade.sessions._commands import Command
 from tidegrade.sessions._commands import Commit
@@ -12,13 +12,13 @@
 from tidegrade.sessions._commands import Rollback
 from tidegrade.sessions._commands import Run
 from tidegrade.sessions._commands import SetValue
-from tidegrade.sessions._deps import Account
+from tidegrade.sessions._deps import CommandRecord
 from tidegrade.sessions._deps import GroupAccess
 from tidegrade.sessions._deps import QuotaAccess
 from tidegrade.sessions._deps import Reply
 from tidegrade.sessions._deps import SessionDeps
 from tidegrade.sessions._deps import SessionState
-from tidegrade.sessions._deps import Unlimited
+from tidegrade.sessions._deps import UnlimitedQuota
 from tidegrade.sessions._routes import Catalogue
 from tidegrade.sessions._routes import DatabaseRoute
 from tidegrade.sessions._routes import GroupEntry
@@ -26,10 +26,10 @@
 
 __all__ = [
     'Access',
-    'Account',
     'Begin',
     'Catalogue',
     'Command',
+    'CommandRecord',
     'Commit',
     'DatabaseRoute',
     'Deallocate',
@@ -45,7 +45,7 @@
     'SessionDeps',
     'SessionState',
     'SetValue',
-    'Unlimited',
-    'access_to',
-    'refusal',
+    'UnlimitedQuota',
+    'refusal_code',
+    'resolve_access',
 ]
--- a/src/tidegrade/sessions/_access.py
+++ b/src/tidegrade/sessions/_access.py
@@ -31,7 +31,7 @@
 )
 
 
-def refusal(
+def refusal_code(
     code: core.Code, config_age: float | None, within: float
 ) -> core.Code:
     """Return the code with which to refuse access to a database.
@@ -48,7 +48,7 @@
     return code
 
 
-def access_to(
+def resolve_access(
     catalogue: _routes.Catalogue | None,
     database: str,
     caller: tenants.Caller,
--- a/src/tidegrade/sessions/_deps.py
+++ b/src/tidegrade/sessions/_deps.py
@@ -56,7 +56,7 @@
         """Return a grant whose operation reached no endpoint."""
 
 
-class Unlimited:
+class UnlimitedQuota:
     """Quota access that grants every operation."""
 
     async def admit(
@@ -75,8 +75,8 @@
 
     ``access_of`` returns the access of a caller to a database under the
     configuration in force, ``group_of`` a group by its name, and
-    ``next_number`` a new request number. ``now`` returns seconds. ``note``
-    receives the record of each command.
+    ``next_number`` a new request number. ``now`` returns seconds.
+    ``record_command`` receives the record of each command.
     """
 
     access_of: Callable[
@@ -85,12 +85,12 @@
     group_of: Callable[[str], GroupAccess | None]
     next_number: Callable[[], int]
     now: Callable[[], float]
-    note: Callable[['Account'], None] = lambda _: None
-    quotas: QuotaAccess = attrs.field(factory=Unlimited)
+    record_command: Callable[['CommandRecord'], None] = lambda _: None
+    quotas: QuotaAccess = attrs.field(factory=UnlimitedQuota)
 
 
 @attrs.frozen
-class Account:
+class CommandRecord:
     """The record of one command of a session, for log and metrics.
 
     ``caller`` is the label of the caller, ``tenant`` the name of the tenant
--- a/src/tidegrade/sessions/_operations.py
+++ b/src/tidegrade/sessions/_operations.py
@@ -85,7 +85,7 @@
             return granted
         return result.Ok(attrs.evolve(granted.unwrap(), admission=admission))
 
-    def settle(self, start: Start, answer: core.Answer) -> None:
+    def return_unused_grant(self, start: Start, answer: core.Answer) -> None:
         """Return a quota grant if its operation reached no endpoint."""
         admission = start.admission
         if admission is None or answer.outcome is not core.Outcome.NOT_RUN:
--- a/src/tidegrade/sessions/_session.py
+++ b/src/tidegrade/sessions/_session.py
@@ -106,8 +106,8 @@
         answer = await self._handlers[type(command)](command)
         reply = _deps.Reply(answer, self.state)
         took = self._deps.now() - began_at
-        self._deps.note(
-            _deps.Account(
+        self._deps.record_command(
+            _deps.CommandRecord(
                 self._database,
                 self._caller.label,
                 self._operations.tenant,
@@ -170,7 +170,7 @@
         if writes:
             answer = start.group.final(answer)
             self._note_commit(start.access.route, answer)
-        self._operations.settle(start, answer)
+        self._operations.return_unused_grant(start, answer)
         return answer
 
     async def _in_transaction(
@@ -194,7 +194,7 @@
         answer = await txn.group.request(req)
         if not txn.name:
             txn.name = answer.txn
-            self._operations.settle(txn.start, answer)
+            self._operations.return_unused_grant(txn.start, answer)
         return self._after_statement(answer)
 
     def _after_statement(self, answer: core.Answer) -> core.Answer:
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -133,7 +133,7 @@
     del raw['tenants']
     found = _configs.decode_config(json.dumps(raw).encode()).unwrap()
     caller = tenants.Caller.presenting('anything')
-    access = sessions.access_to(found, 'db1', caller).unwrap()
+    access = sessions.resolve_access(found, 'db1', caller).unwrap()
     assert access.tenant_name == ''
 
 
@@ -142,12 +142,15 @@
         _configs.without_keys(shared(tenant()))
     ).unwrap()
     stranger = tenants.Caller.presenting('zaqti8vm2bnc0lpwxeoq')
-    refused = sessions.access_to(found, 'db1', stranger)
+    refused = sessions.resolve_access(found, 'db1', stranger)
     assert refused.unwrap_err() is core.Code.UNAUTHORIZED
-    assert sessions.access_to(found, 'open', stranger).unwrap().tenant is None
+    assert (
+        sessions.resolve_access(found, 'open', stranger).unwrap().tenant
+        is None
+    )
     known = tenants.Caller.presenting('nirth5mgjy5rcpihhacr')
     for database in ('db1', 'open'):
-        access = sessions.access_to(found, database, known).unwrap()
+        access = sessions.resolve_access(found, database, known).unwrap()
         assert access.tenant_name == 'bode960'
 
 
--- a/tests/session_proxy/test_accounts.py
+++ b/tests/session_proxy/test_command_records.py
@@ -4,7 +4,7 @@
 
 from tidegrade.adapters import _metrics
 from tidegrade import core
-from tidegrade.session_proxy import _accounts
+from tidegrade.session_proxy import _command_records
 from tidegrade import sessions
 
 READ = sessions.Run('r1', 'READ x', writes=False)
@@ -15,12 +15,14 @@
     return _metrics.Metrics()
 
 
-def account(tenant: str, code: core.Code | None = None) -> sessions.Account:
+def record_of(
+    tenant: str, code: core.Code | None = None
+) -> sessions.CommandRecord:
     outcome = core.Outcome.DONE if code is None else core.Outcome.NOT_RUN
     reply = sessions.Reply(
         core.Answer(outcome, code=code), sessions.SessionState.IDLE
     )
-    return sessions.Account('db', 'label', tenant, READ, reply, 0.01)
+    return sessions.CommandRecord('db', 'label', tenant, READ, reply, 0.01)
 
 
 def page(metrics: _metrics.Metrics) -> str:
@@ -29,8 +31,8 @@
 
 
 def test_refusals_of_a_tenant_are_counted_under_its_name(metrics):
-    accounts = _accounts.Accounts(metrics)
-    accounts.note(account('acme', core.Code.TENANT_LIMIT))
+    recorder = _command_records.CommandRecorder(metrics)
+    recorder.record_command(record_of('acme', core.Code.TENANT_LIMIT))
     (line,) = [
         line
         for line in page(metrics).splitlines()
@@ -41,16 +43,16 @@
 
 
 def test_without_tenants_requests_are_counted_by_database(metrics):
-    _accounts.Accounts(metrics).note(account(''))
+    _command_records.CommandRecorder(metrics).record_command(record_of(''))
     assert 'tenant="db"' in page(metrics)
 
 
 def test_number_of_tenant_labels_is_bounded(metrics):
-    accounts = _accounts.Accounts(metrics)
-    for number in range(3 * _accounts.MAX_TENANT_LABELS):
-        accounts.note(account(f't{number}'))
+    recorder = _command_records.CommandRecorder(metrics)
+    for number in range(3 * _command_records.MAX_TENANT_LABELS):
+        recorder.record_command(record_of(f't{number}'))
     shown = page(metrics)
     assert shown.count('tidegrade_requests_total{') <= (
-        _accounts.MAX_TENANT_LABELS + 1
+        _command_records.MAX_TENANT_LABELS + 1
     )
     assert 'tenant="others"' in shown
--- a/tests/session_proxy/test_first_primary.py
+++ b/tests/session_proxy/test_first_primary.py
@@ -63,7 +63,7 @@
     cfg = _settings.ProxySettings(
         'vm-1', 'a', '127.0.0.1', 1, 6.0, settle_s=SETTLE
     )
-    outside = _settings.Outside(
+    adapters = _settings.Adapters(
         endpoints=Endpoints(),
         table=Table(),
         directory=None,
@@ -73,7 +73,7 @@
         traits=core.Traits(),
         read_settings=lambda: result.Err([]),
     )
-    created = _proxy.SessionProxy(cfg, outside)
+    created = _proxy.SessionProxy(cfg, adapters)
     created._deps = created._make_deps('00' * 32)
     created._rng = random.Random(1)
     created._peers = _peers_task.PeersTask(
@@ -85,7 +85,7 @@
     )
     spot = _roster.Spot('vm-1.0', 'a')
     created._homes = _homes.HomeMap(spot, created._peers, created._deps.clock)
-    created._watch = types.SimpleNamespace(adopted=lambda: None)
+    created._watch = types.SimpleNamespace(announce_config=lambda: None)
     created._catalogue = CATALOGUE
     async with anyio.create_task_group() as tasks:
         created._tasks = tasks
--- a/tests/session_proxy/test_home_map.py
+++ b/tests/session_proxy/test_home_map.py
@@ -57,7 +57,7 @@
 
 def test_proxy_that_has_not_looked_for_others_serves_nothing(homes):
     """Otherwise each of 195 proxies started together takes all connections."""
-    assert homes.of('g', CFG, False).count == 0
+    assert homes.homes_of('g', CFG, False).count == 0
 
 
 def test_listed_and_starting_proxies_count(homes, peers):
@@ -65,7 +65,7 @@
     peers.learn_vms(
         [ports.Vm(f'vm-{n}.r', 'proxy', 'a', 'h', n) for n in others]
     )
-    assert homes.of('g', CFG, False).count < len(others)
+    assert homes.homes_of('g', CFG, False).count < len(others)
 
 
 KEY = messages.GroupKey('platform', 'g')
