--- a/src/tidegrade/core/_config_age.py
+++ b/src/tidegrade/core/_config_age.py
@@ -1,40 +1,42 @@
-"""How long ago a proxy's configuration was known to be the newest.
-
-A few proxies read the configuration for all. The load pattern that this
-answers: those few stop reading, all at once or unnoticed, or what they have
-does not come over, while everybody else trusts in them. So each proxy tells,
-with its heartbeat, up to when it knows that nothing newer was accepted:
-whoever reads knows it from the reading, the others from those that have the
-same version. Who can't show it for too long reads for itself.
+"""Age of a proxy's configuration: when it was last known to be the newest.
+
+A few proxies read the configuration for all. They may stop reading, all at
+once or undetected, or their updates may not arrive, while the other proxies
+rely on them. So each proxy states in its heartbeat up to which time it knows
+that no newer configuration was accepted: a reader knows it from its own
+reading, any other proxy from the heartbeats of proxies with the same version.
+A proxy whose configuration has not been confirmed for too long reads it from
+the platform itself.
 """
 
 import attrs
 
-#: Part of the time in which a configuration must be in force after which a
-#: proxy reads for itself, if the newest it heard of has not come: the
-#: questions to others take a tenth of it when all is well.
-NEWER_FOR = 0.3
-#: The same for the next in turn to watch, when nothing was shown. What is
-#: known from others is up to 0.4 of that time old, for a reading may be held
-#: back so long, and half a second for each heartbeat on the way.
-EARLY = 0.65
-#: The same for everybody else; it leaves a fifth for the reading itself.
-LATE = 0.8
-#: Pause before a reading is repeated that showed nothing, in seconds; each
-#: is twice as long as the one before, up to the longest.
-FIRST_PAUSE = 0.5
-LONGEST_PAUSE = 4.0
-#: Versions heard of and not in force yet that are remembered; more come
-#: only while none is adopted, and the newest are the ones that count.
+#: Part of the time within which a configuration must be in force, after
+#: which a proxy reads it itself if a newer version that it heard of has not
+#: arrived: fetching it from a peer normally takes a tenth of that time.
+PENDING_READ_PART = 0.3
+#: The same for the proxies next in rank to the readers, if the version in
+#: force has not been confirmed. A confirmation from a peer is up to 0.4 of
+#: that time old, since a reading may be delayed for so long, and half a
+#: second older for each heartbeat on the way.
+EARLY_READ_PART = 0.65
+#: The same for all other proxies; it leaves a fifth for the reading itself.
+LATE_READ_PART = 0.8
+#: Bounds of the backoff before an unsuccessful reading is repeated, in
+#: seconds; it doubles with each repetition.
+MIN_READ_BACKOFF_S = 0.5
+MAX_READ_BACKOFF_S = 4.0
+#: Highest number of versions that are remembered before they are in force;
+#: there are more only while none is adopted, and then the newest are kept.
 MAX_PENDING = 32
 
 
 @attrs.define
 class _Pending:
-    """A version that is not in force here; times in seconds.
+    """A version that is not in force here yet; times in seconds.
 
-    ``heard_at`` is when it was heard of first, ``newest_at`` when it was
-    last known to be the newest.
+    ``heard_at`` is when this proxy first heard of it, ``newest_at`` when it
+    was last known to be the newest.
     """
 
     heard_at: float
@@ -43,24 +45,25 @@
 
 @attrs.define
 class ConfigAge:
-    """Follows what is known of the newest configuration; times in seconds.
+    """Tracks the newest known configuration; times in seconds.
 
-    It must be in force everywhere ``within`` seconds from its acceptance.
+    A configuration must be in force on every proxy ``within`` seconds of its
+    acceptance. ``version`` is the one in force here; 0 if there is none.
     """
 
     within: float
     version: int = 0
-    _seen_at: float = float('-inf')
+    _confirmed_at: float = float('-inf')
     _pending: dict[int, _Pending] = attrs.field(factory=dict)
     _not_before: float = float('-inf')
-    _pause: float = FIRST_PAUSE
+    _backoff_s: float = MIN_READ_BACKOFF_S
 
     def told(self, version: int, at: float, now: float) -> None:
-        """Take in that ``version`` was the newest one at ``at``."""
+        """Record that ``version`` was the newest one at time ``at``."""
         if version < self.version:
             return
         if version == self.version:
-            self._note_seen(at)
+            self._confirm(at)
             return
         known = self._pending.setdefault(version, _Pending(now, at))
         known.newest_at = max(known.newest_at, at)
@@ -68,40 +71,43 @@
             del self._pending[min(self._pending)]
 
     def adopted(self, version: int) -> None:
-        """Note that a newer version is in force here."""
+        """Record that ``version`` is in force here, if it is newer."""
         if version <= self.version:
             return
         self.version = version
         for pending in [v for v in self._pending if v <= version]:
-            self._note_seen(self._pending.pop(pending).newest_at)
+            self._confirm(self._pending.pop(pending).newest_at)
 
     def age(self, now: float) -> float | None:
-        """Give how long ago this one was the newest; None if not known."""
-        if self._seen_at == float('-inf'):
+        """Return the time since the version in force was confirmed as newest.
+
+        None if that never happened.
+        """
+        if self._confirmed_at == float('-inf'):
             return None
-        return max(0.0, now - self._seen_at)
+        return max(0.0, now - self._confirmed_at)
 
     def must_read(self, early: bool, now: float) -> bool:
-        """Tell whether this proxy should read the platform itself.
+        """Return whether this proxy should read from the platform itself.
 
-        ``early`` says that it is among the first who should. Each time it
-        is told to, the next one is put off.
+        ``early`` means that it is among the first proxies that should. Each
+        True starts a backoff, during which the result is False.
         """
         if not self.version or now < self._not_before:
             return False
-        part = EARLY if early else LATE
-        unseen = now - self._seen_at > part * self.within
+        part = EARLY_READ_PART if early else LATE_READ_PART
+        unconfirmed = now - self._confirmed_at > part * self.within
         heard_at = min(
             (p.heard_at for p in self._pending.values()), default=now
         )
-        lacking = now - heard_at > NEWER_FOR * self.within
-        if not unseen and not lacking:
+        outdated = now - heard_at > PENDING_READ_PART * self.within
+        if not unconfirmed and not outdated:
             return False
-        self._not_before = now + self._pause
-        self._pause = min(2 * self._pause, LONGEST_PAUSE)
+        self._not_before = now + self._backoff_s
+        self._backoff_s = min(2 * self._backoff_s, MAX_READ_BACKOFF_S)
         return True
 
-    def _note_seen(self, at: float) -> None:
-        if at > self._seen_at:
-            self._seen_at = at
-            self._pause = FIRST_PAUSE
+    def _confirm(self, at: float) -> None:
+        if at > self._confirmed_at:
+            self._confirmed_at = at
+            self._backoff_s = MIN_READ_BACKOFF_S
--- a/src/tidegrade/core/_homes.py
+++ b/src/tidegrade/core/_homes.py
@@ -1,8 +1,8 @@
-"""Which proxies keep connections to a group's endpoints.
+"""Which proxies, the homes of a group, connect to its endpoints.
 
-Connections are scarce, and every proxy that holds some must also be kept
-informed of the group's state. So where there are many proxies, some in
-each failure domain serve a group for the others there.
+Connections are scarce, and every proxy that holds some must also receive
+the group's state. So where there are many proxies, a few in each failure
+domain serve a group on behalf of the other proxies of that domain.
 """
 
 from collections.abc import Collection
@@ -14,23 +14,23 @@
 from tidegrade import config
 from tidegrade.core import _turns
 
-#: Homes of a group in one failure domain, at most: enough that the loss of
-#: some is no matter, few enough that each is busy.
+#: Highest number of homes of a group in one failure domain: enough that the
+#: group tolerates the loss of some, few enough that each is well used.
 MAX_HOMES = 8
-#: The same where each connection belongs to a tenant: the fewer there are,
-#: the more of a tenant's requests meet a connection of its own.
+#: The same where each connection belongs to a tenant: the fewer homes there
+#: are, the more requests of a tenant find an open connection of that tenant.
 MAX_TENANT_HOMES = 2
-#: Part of an endpoint's connections that is shared out. The rest is left
-#: for those of proxies that have just ended: an endpoint holds them for up
-#: to 3 s more.
-SHARED_OUT = 0.85
+#: Part of an endpoint's connections that is divided among the homes. The
+#: rest is reserved for the connections of proxies that have just ended: an
+#: endpoint keeps counting them for up to 3 s.
+SHARED_PART = 0.85
 
 
 @attrs.frozen
 class Homes:
-    """A proxy's part in serving a group.
+    """Whether a proxy is a home of a group, and the number of homes.
 
-    ``count`` is how many proxies share the endpoints' connections.
+    The ``count`` homes share the endpoints' connections.
     """
 
     is_home: bool
@@ -45,22 +45,23 @@
     proxies: Mapping[str, Collection[str]],
     by_tenant: bool = False,
 ) -> Homes:
-    """Say whether proxy ``own`` in ``domain`` is a home of a group.
+    """Return whether proxy ``own`` in ``domain`` is a home of a group.
 
-    ``proxies`` are those that may serve, by failure domain, own included.
+    ``proxies`` are the eligible proxies by failure domain, including
+    ``own``. ``by_tenant`` means that each connection belongs to a tenant.
     """
-    most = MAX_TENANT_HOMES if by_tenant else MAX_HOMES
-    per_domain = min(most, _per_domain(cfg, len(proxies)))
+    max_homes = MAX_TENANT_HOMES if by_tenant else MAX_HOMES
+    per_domain = min(max_homes, _per_domain(cfg, len(proxies)))
     others = (proxy for proxy in proxies[domain] if proxy != own)
-    turn = _turns.rank(f'home {group}', own, others)
+    own_rank = _turns.rank(f'home {group}', own, others)
     count = sum(min(per_domain, len(found)) for found in proxies.values())
-    return Homes(turn < per_domain, count)
+    return Homes(own_rank < per_domain, count)
 
 
 def _per_domain(cfg: config.Group, domains: int) -> int:
-    """Give how many homes each failure domain has, if it has as many."""
-    fewest = min(e.max_connections for e in cfg.endpoints.values())
-    shared = int(fewest * SHARED_OUT) // domains
+    """Return the number of homes per failure domain, if it has enough."""
+    min_connections = min(e.max_connections for e in cfg.endpoints.values())
+    shared = int(min_connections * SHARED_PART) // domains
     return max(1, shared)
 
 
@@ -70,15 +71,15 @@
     proxies: Mapping[str, Collection[str]],
     by_tenant: bool = False,
 ) -> tuple[str, ...]:
-    """Give who should be a group's homes, whether they were heard or not.
+    """Return the expected homes of a group, heard from or not.
 
-    After a restart of all, requests find them a second before the homes
-    have told everybody what they serve.
+    After a restart of all proxies, requests can be forwarded to these a
+    second before the homes have announced the groups that they serve.
     """
     if not proxies:
         return ()
-    most = MAX_TENANT_HOMES if by_tenant else MAX_HOMES
-    per_domain = min(most, _per_domain(cfg, len(proxies)))
+    max_homes = MAX_TENANT_HOMES if by_tenant else MAX_HOMES
+    per_domain = min(max_homes, _per_domain(cfg, len(proxies)))
     return tuple(
         proxy
         for found in proxies.values()
@@ -87,10 +88,10 @@
 
 
 def home_of_tenant(group: str, tenant: str, homes: Iterable[str]) -> str:
-    """Give the home that keeps a tenant's connections to a group."""
+    """Return the home that holds a tenant's connections to a group."""
     return _turns.first_in_turn(f'home {group} {tenant}', homes)
 
 
 def owner_of(txn: str) -> str:
-    """Give the proxy that keeps a transaction, by the transaction's name."""
+    """Return the proxy that holds a transaction, from its name."""
     return txn.partition('~')[0]
--- a/src/tidegrade/core/_hung_polls.py
+++ b/src/tidegrade/core/_hung_polls.py
@@ -1,9 +1,9 @@
-"""Jobs without an answer: is it the connection or the endpoint?
+"""Detection of hung connections, as opposed to endpoints that are down.
 
-A connection may go silent for good while new ones to the same endpoint
-work. So where a poll or a caller's statement hangs, the endpoint is polled
-on a connection that was used later, or a new one, long before the silence
-counts against it.
+A connection may stop responding for good while new connections to the same
+endpoint work. So if a poll or a caller's statement hangs, the endpoint is
+polled on a connection that was used later, or on a new one, long before the
+silence makes the endpoint count as down.
 """
 
 from collections.abc import Callable
@@ -12,26 +12,29 @@
 from tidegrade.core import _pool
 from tidegrade.core import _state
 
-#: Round trips of late after which a job counts as hanging. Without the poll
-#: elsewhere a healthy primary counted as down once all connections to it had
-#: gone silent, in 20 of 20 cases without callers and in 6 of 6 with one
-#: statement (a machine in virtual time with shares of 1 to 10 connections);
-#: with it in none.
+#: Number of recent round trips after which a job counts as hung. Without the
+#: poll on another connection, a healthy primary counted as down after all
+#: connections to it had gone silent, in 20 of 20 simulated cases without
+#: callers and in 6 of 6 with one statement (shares of 1 to 10 connections);
+#: with that poll, in none.
 HUNG_ROUND_TRIPS = 5
-#: Bounds of that wait, in seconds: many times what a poll takes, and half of
-#: the shortest silence after which an endpoint counts as down, so that
-#: another connection has the other half.
-LEAST_WAIT = 0.15
-MOST_WAIT = 0.3
-#: Polls of one endpoint that may be without an answer at a time. If the one
-#: on another connection hangs as well, a third would tell no more.
-MOST_AT_ONCE = 2
+#: Bounds of that wait, in seconds: many times the duration of a poll, and at
+#: most half of the shortest silence after which an endpoint counts as down,
+#: so that the other half remains for another connection.
+MIN_HUNG_WAIT_S = 0.15
+MAX_HUNG_WAIT_S = 0.3
+#: Highest number of unanswered polls of one endpoint at a time. If the poll
+#: on another connection hangs as well, a third gives no more information.
+MAX_OUTSTANDING_POLLS = 2
 
 Send = Callable[[_pool.Conn, float], None]
 
 
 class HungPolls:
-    """Looks after the polls of a group's endpoints that are under way."""
+    """Detects and repeats hung polls of a group's endpoints.
+
+    Times are in seconds.
+    """
 
     def __init__(self, state: _state.GroupState, send: Send) -> None:
         self._state = state
@@ -39,38 +42,44 @@
         self._silent_since: dict[str, float] = {}
 
     def sent(self, name: str, now: float) -> None:
-        """Note that a poll of an endpoint leaves."""
+        """Record that a poll of an endpoint is sent."""
         self._silent_since.setdefault(name, now)
 
     def look_after(self, name: str, now: float) -> bool:
-        """Ask elsewhere if a job hangs; tell whether a poll is under way."""
-        self._judge_silence(name, now)
-        self._end_overtaken(name, now)
-        asked = self._under_way(name)
-        if not asked:
-            return self._ask_beside_statements(name, now)
-        newest = max(asked, key=lambda conn: conn.sent_at)
-        if len(asked) < MOST_AT_ONCE and self._hangs(newest, now):
+        """Poll on another connection if a job of an endpoint hangs.
+
+        Returns whether a poll of the endpoint is outstanding.
+        """
+        self._record_failure(name, now)
+        self._close_overtaken(name, now)
+        polls = self._outstanding(name)
+        if not polls:
+            return self._poll_for_hung_statement(name, now)
+        newest = max(polls, key=lambda conn: conn.sent_at)
+        if len(polls) < MAX_OUTSTANDING_POLLS and self._is_hung(newest, now):
             self._repeat(newest, now)
         return True
 
     def _repeat(self, hung: _pool.Conn, now: float) -> None:
-        """Repeat a poll; its connection makes room if there is none."""
-        if not self._ask_elsewhere(hung, now):
+        """Repeat a hung poll; close its connection if no other is possible."""
+        if not self._poll_elsewhere(hung, now):
             self._state.close(hung)
 
-    def _ask_beside_statements(self, name: str, now: float) -> bool:
-        """Poll where a statement hangs and nothing was heard since."""
+    def _poll_for_hung_statement(self, name: str, now: float) -> bool:
+        """Poll an endpoint that has not answered since a hung statement.
+
+        Returns whether a poll of the endpoint is outstanding.
+        """
         heard = self._state.views[name].seen_at
         for conn in self._state.pool.of(name):
             silent = conn.job is not None and conn.sent_at > heard
-            if silent and self._hangs(conn, now):
-                self._ask_elsewhere(conn, now)
+            if silent and self._is_hung(conn, now):
+                self._poll_elsewhere(conn, now)
                 break
-        return bool(self._under_way(name))
+        return bool(self._outstanding(name))
 
-    def _judge_silence(self, name: str, now: float) -> None:
-        """Count a failure once no poll, on any connection, was answered."""
+    def _record_failure(self, name: str, now: float) -> None:
+        """Record a failure if no poll is answered within the limit."""
         since = self._silent_since.get(name)
         if since is None:
             return
@@ -82,43 +91,45 @@
         if not view.failures and now - since >= limit:
             view.failed(False, now)
 
-    def _end_overtaken(self, name: str, now: float) -> None:
-        """Close connections that hang though a later poll was answered.
+    def _close_overtaken(self, name: str, now: float) -> None:
+        """Close hung connections if a later poll was answered.
 
-        The poll on one would else be repeated at each look until its limit:
-        10 polls in 0.7 s instead of 4 (a machine in virtual time).
+        Otherwise the poll on such a connection would be repeated at each
+        check until its timeout: 10 polls in 0.7 s instead of 4 in a
+        simulation.
         """
         answered = self._state.views[name].sent_at
-        for conn in self._under_way(name):
-            if conn.sent_at < answered and self._hangs(conn, now):
+        for conn in self._outstanding(name):
+            if conn.sent_at < answered and self._is_hung(conn, now):
                 self._state.close(conn)
 
-    def _under_way(self, name: str) -> list[_pool.Conn]:
+    def _outstanding(self, name: str) -> list[_pool.Conn]:
         return [
             conn
             for conn in self._state.pool.of(name)
             if isinstance(conn.job, _jobs.StatusJob) and conn.owner is None
         ]
 
-    def _hangs(self, conn: _pool.Conn, now: float) -> bool:
+    def _is_hung(self, conn: _pool.Conn, now: float) -> bool:
         round_trip = self._state.views[conn.endpoint].round_trip
         usual = round_trip * HUNG_ROUND_TRIPS
-        wait = min(max(usual, LEAST_WAIT), MOST_WAIT)
+        wait = min(max(usual, MIN_HUNG_WAIT_S), MAX_HUNG_WAIT_S)
         return now - conn.sent_at >= wait
 
-    def _ask_elsewhere(self, hung: _pool.Conn, now: float) -> bool:
+    def _poll_elsewhere(self, hung: _pool.Conn, now: float) -> bool:
         """Poll on a connection that was used later, or open a new one.
 
-        Others may have gone silent with it; they are asked only where no
-        more may be opened. Tells whether anything of this could be done.
+        Connections used earlier may have gone silent together with ``hung``;
+        they are polled only if no new one may be opened. Returns whether a
+        poll was sent, or a connection is being opened or can be later.
         """
         name = hung.endpoint
         pool = self._state.pool
-        other = pool.idle_last_used(name)
+        other = pool.last_used_idle(name)
         if other is None or other.sent_at <= hung.sent_at:
             own = self._state.own_tenant
             self._state.open_if_allowed(name, own, now, pressed=True)
-            if pool.opening(name) or not pool.is_full(name):
+            if pool.opening(name) or not pool.share_is_full(name):
                 return True
         if other is None:
             return False
--- a/src/tidegrade/core/_pool.py
+++ b/src/tidegrade/core/_pool.py
@@ -9,13 +9,13 @@
 from tidegrade.core import _shares
 from tidegrade.core import _types
 
-#: Bounds of the pause after failed attempts to connect, in seconds.
-MIN_REOPEN_PAUSE = 0.05
-MAX_REOPEN_PAUSE = 1.0
+#: Bounds of the backoff after failed attempts to connect, in seconds.
+MIN_BACKOFF_S = 0.05
+MAX_BACKOFF_S = 1.0
 
 
 class ConnState(enum.Enum):
-    """Where a connection is in its life."""
+    """The state of a connection."""
 
     OPENING = 'opening'
     IDLE = 'idle'
@@ -27,12 +27,12 @@
 
 @attrs.define
 class Conn:
-    """One connection, with what it runs and for whom.
+    """A connection and the job that it runs; times in seconds.
 
     ``owner`` is the request, transaction or control job that the running
-    job belongs to; None for a poll. ``values`` and ``prepared`` are what
-    sessions have left on it. It was opened for ``tenant`` and brings nobody
-    else's statements; for None it serves all.
+    job belongs to; None for a poll. ``values`` and ``prepared`` are the
+    session settings and prepared statements that exist on the connection.
+    It runs statements of ``tenant`` only; None means of all tenants.
     """
 
     id: int
@@ -48,18 +48,18 @@
 
 
 @attrs.define
-class Gate:
-    """When an endpoint may be tried again after failed attempts."""
+class Backoff:
+    """Backoff after failed attempts to connect; times in seconds."""
 
     failures: int = 0
     not_before: float = float('-inf')
 
 
-_NOTHING = _shares.Share()
+_EMPTY_SHARE = _shares.Share()
 
 
 class Pool:
-    """Connections by endpoint; never more than the proxy's share."""
+    """Connections by endpoint, never more than the proxy's share."""
 
     def __init__(
         self, shares: dict[str, _shares.Share], rng: random.Random
@@ -68,44 +68,44 @@
         self._rng = rng
         self._conns: dict[int, Conn] = {}
         self._by_endpoint: dict[str, list[Conn]] = {}
-        self._gates: dict[str, Gate] = {}
+        self._backoffs: dict[str, Backoff] = {}
         self._next_id = 1
 
     def __iter__(self):
         return iter(list(self._conns.values()))
 
     def get(self, conn_id: int) -> Conn | None:
-        """Give a connection that has not ended."""
+        """Return a connection; None if it has ended."""
         return self._conns.get(conn_id)
 
     def of(self, endpoint: str) -> list[Conn]:
-        """Give the connections to an endpoint, closing ones included."""
+        """Return the connections to an endpoint, including closing ones."""
         return list(self._by_endpoint.get(endpoint, ()))
 
     def share(self, endpoint: str) -> _shares.Share:
-        """Give how many connections to an endpoint are allowed."""
-        return self._shares.get(endpoint, _NOTHING)
+        """Return this proxy's share of an endpoint's connections."""
+        return self._shares.get(endpoint, _EMPTY_SHARE)
 
     def set_shares(self, shares: dict[str, _shares.Share]) -> None:
-        """Change the shares; the caller closes what is over."""
+        """Replace the shares; the caller closes the excess connections."""
         self._shares = dict(shares)
 
     def idle(self, endpoint: str, tenant: str | None) -> Conn | None:
-        """Give a connection ready for a tenant's work."""
+        """Return an idle connection of this tenant, or None."""
         for conn in self._by_endpoint.get(endpoint, ()):
             if conn.state is ConnState.IDLE and conn.tenant == tenant:
                 return conn
         return None
 
     def idle_any(self, endpoint: str) -> Conn | None:
-        """Give one ready for statements that are no caller's."""
+        """Return any idle connection, for the proxy's own statements."""
         for conn in self._by_endpoint.get(endpoint, ()):
             if conn.state is ConnState.IDLE:
                 return conn
         return None
 
     def least_used(self, endpoint: str, tenant: str | None) -> Conn | None:
-        """Give the idle one of other tenants that has rested longest."""
+        """Return the longest idle connection of another tenant, or None."""
         conns = self._by_endpoint.get(endpoint, ())
         found = (
             conn
@@ -115,29 +115,29 @@
         return min(found, key=lambda conn: conn.sent_at, default=None)
 
     def closing(self, endpoint: str) -> bool:
-        """Tell whether a connection is about to end, and to leave room."""
+        """Return whether a connection is closing and will free its slot."""
         conns = self._by_endpoint.get(endpoint, ())
         return any(conn.state is ConnState.CLOSING for conn in conns)
 
-    def idle_last_used(self, endpoint: str) -> Conn | None:
-        """Give the one ready for work that was used or opened last."""
+    def last_used_idle(self, endpoint: str) -> Conn | None:
+        """Return the idle connection that was used or opened last."""
         conns = self._by_endpoint.get(endpoint, ())
         ready = (conn for conn in conns if conn.state is ConnState.IDLE)
         return max(ready, key=lambda conn: conn.sent_at, default=None)
 
     def busy_count(self, endpoint: str) -> int:
-        """Count the connections that are not idle."""
+        """Return the number of connections that are not idle."""
         conns = self._by_endpoint.get(endpoint, ())
         return sum(conn.state is not ConnState.IDLE for conn in conns)
 
     def in_use(self, endpoint: str) -> bool:
-        """Tell whether a connection works, so that waiting may help."""
+        """Return whether a connection is in use and may become idle."""
         busy = (ConnState.BUSY, ConnState.PINNED)
         conns = self._by_endpoint.get(endpoint, ())
         return any(conn.state in busy for conn in conns)
 
     def opening_for(self, endpoint: str, tenant: str | None) -> bool:
-        """Tell whether a connection for a tenant is being opened."""
+        """Return whether a connection of this tenant is being opened."""
         conns = self._by_endpoint.get(endpoint, ())
         return any(
             conn.state is ConnState.OPENING and conn.tenant == tenant
@@ -145,24 +145,25 @@
         )
 
     def opening_count(self, endpoint: str) -> int:
-        """Count the attempts to connect that are under way."""
+        """Return the number of connections that are being opened."""
         conns = self._by_endpoint.get(endpoint, ())
         return sum(conn.state is ConnState.OPENING for conn in conns)
 
     def spare(self, now: float) -> list[Conn]:
-        """Give connections above the usual number that have rested.
+        """Return idle connections above the usual number, to be closed.
 
-        The newest are given back: work goes to the oldest that is idle.
+        The newest are returned first, since jobs go to the oldest idle one.
+        Each has been idle for ``SURPLUS_IDLE_S`` seconds.
         """
         found = []
         for endpoint, conns in self._by_endpoint.items():
             has_tenants = any(conn.tenant for conn in conns)
-            over = len(conns) - self.share(endpoint).usually(has_tenants)
+            excess = len(conns) - self.share(endpoint).usual_limit(has_tenants)
             for conn in reversed(conns):
-                rested = now - conn.sent_at >= _shares.SPARE_REST
-                if over > 0 and rested and conn.state is ConnState.IDLE:
+                idle_long = now - conn.sent_at >= _shares.SURPLUS_IDLE_S
+                if excess > 0 and idle_long and conn.state is ConnState.IDLE:
                     found.append(conn)
-                    over -= 1
+                    excess -= 1
         return found
 
     def may_open(
@@ -172,60 +173,63 @@
         pressed: bool = False,
         has_tenants: bool = False,
     ) -> bool:
-        """Tell whether the share and the pause allow another attempt.
+        """Return whether the share and the backoff allow another attempt.
 
-        ``pressed`` says that requests have waited for one, ``has_tenants``
-        that it is to be a tenant's.
+        ``pressed`` means that requests have waited long enough to exceed
+        the usual number; ``has_tenants``, that connections belong to tenants.
         """
-        held = len(self._by_endpoint.get(endpoint, ()))
-        gate = self._gates.get(endpoint)
-        if gate is not None and now < gate.not_before:
+        open_count = len(self._by_endpoint.get(endpoint, ()))
+        backoff = self._backoffs.get(endpoint)
+        if backoff is not None and now < backoff.not_before:
             return False
-        return self.share(endpoint).allows(held, pressed, has_tenants)
+        return self.share(endpoint).allows(open_count, pressed, has_tenants)
 
-    def is_full(self, endpoint: str) -> bool:
-        """Tell whether as many connections are held as ever may be."""
-        held = len(self._by_endpoint.get(endpoint, ()))
-        return held >= self.share(endpoint).most
+    def share_is_full(self, endpoint: str) -> bool:
+        """Return whether the connections to an endpoint use up the share."""
+        open_count = len(self._by_endpoint.get(endpoint, ()))
+        return open_count >= self.share(endpoint).most
 
     def opening(self, endpoint: str) -> bool:
-        """Tell whether an attempt to connect is under way."""
+        """Return whether a connection to an endpoint is being opened."""
         conns = self._by_endpoint.get(endpoint, ())
         return any(conn.state is ConnState.OPENING for conn in conns)
 
     def open(self, endpoint: str, tenant: str | None, now: float) -> Conn:
-        """Note an ordered connection; the invariant guards the share."""
+        """Add a connection that is about to be opened.
+
+        Raises InvariantBroken if it would exceed the share.
+        """
         conn = Conn(self._next_id, endpoint, tenant, sent_at=now)
         self._next_id += 1
         self._conns[conn.id] = conn
-        held = self._by_endpoint.setdefault(endpoint, [])
-        held.append(conn)
+        conns = self._by_endpoint.setdefault(endpoint, [])
+        conns.append(conn)
         _types.invariant(
-            len(held) <= self.share(endpoint).most,
-            'more connections than the share',
+            len(conns) <= self.share(endpoint).most,
+            'more connections to the endpoint than its share allows',
         )
         return conn
 
     def opened(self, conn: Conn) -> None:
-        """Note that a connection is ready."""
+        """Mark a connection as idle and reset the endpoint's backoff."""
         if conn.state is ConnState.OPENING:
             conn.state = ConnState.IDLE
-        self._gates.pop(conn.endpoint, None)
+        self._backoffs.pop(conn.endpoint, None)
 
     def give_up_opening(self, conn: Conn, now: float) -> None:
-        """Note that an attempt to connect took too long."""
-        self._failed(conn.endpoint, now)
+        """Back off after an attempt to connect that timed out."""
+        self._back_off(conn.endpoint, now)
 
     def closed(self, conn: Conn, now: float) -> None:
-        """Forget a connection; a failed attempt lengthens the pause."""
+        """Remove a connection; a failed attempt extends the backoff."""
         if conn.state is ConnState.OPENING:
-            self._failed(conn.endpoint, now)
+            self._back_off(conn.endpoint, now)
         del self._conns[conn.id]
         self._by_endpoint[conn.endpoint].remove(conn)
 
-    def _failed(self, endpoint: str, now: float) -> None:
-        gate = self._gates.setdefault(endpoint, Gate())
-        longest = min(MIN_REOPEN_PAUSE * 2**gate.failures, MAX_REOPEN_PAUSE)
-        gate.failures = min(gate.failures + 1, 10)
-        pause = self._rng.uniform(MIN_REOPEN_PAUSE / 2, longest)
-        gate.not_before = now + pause
+    def _back_off(self, endpoint: str, now: float) -> None:
+        backoff = self._backoffs.setdefault(endpoint, Backoff())
+        longest = min(MIN_BACKOFF_S * 2**backoff.failures, MAX_BACKOFF_S)
+        backoff.failures = min(backoff.failures + 1, 10)
+        pause = self._rng.uniform(MIN_BACKOFF_S / 2, longest)
+        backoff.not_before = now + pause
--- a/src/tidegrade/core/_queue.py
+++ b/src/tidegrade/core/_queue.py
@@ -1,4 +1,4 @@
-"""Waiting requests, served fairly between tenants."""
+"""Queue of waiting requests, fair between tenants."""
 
 import collections
 from collections.abc import Callable
@@ -8,25 +8,25 @@
 
 from tidegrade.core import _order
 
-#: Weight of the newest measurement in the mean service time.
-SERVICE_WEIGHT = 0.1
-#: Service time assumed before anything was measured, in seconds.
-INITIAL_SERVICE = 0.005
-#: Bounds of the time given to a refused caller, in seconds.
-MIN_RETRY_AFTER = 0.1
-MAX_RETRY_AFTER = 30.0
+#: Weight of the newest sample in the moving average of the service time.
+SERVICE_TIME_WEIGHT = 0.1
+#: Service time assumed before the first sample, in seconds.
+INITIAL_SERVICE_TIME_S = 0.005
+#: Bounds of the retry delay that a refused caller is told, in seconds.
+MIN_RETRY_AFTER_S = 0.1
+MAX_RETRY_AFTER_S = 30.0
 
 T = typing.TypeVar('T')
 
-#: Gives the place of an item at this moment.
+#: Returns the current rank of an item.
 Ranking = Callable[[T], _order.Rank]
 
 
 class FairQueue(typing.Generic[T]):
-    """A line a tenant; who goes first is told by a rank, then by turn."""
+    """One queue per tenant; ordered by rank, then by round robin."""
 
     def __init__(self) -> None:
-        self._lines: collections.OrderedDict[str, list[T]] = (
+        self._queues: collections.OrderedDict[str, list[T]] = (
             collections.OrderedDict()
         )
         self._length = 0
@@ -35,62 +35,66 @@
         return self._length
 
     def __iter__(self) -> typing.Iterator[T]:
-        for line in self._lines.values():
-            yield from line
+        for queue in self._queues.values():
+            yield from queue
 
     def push(self, tenant: str, item: T) -> None:
-        """Add to the tenant's line."""
-        self._lines.setdefault(tenant, []).append(item)
+        """Append an item to the tenant's queue."""
+        self._queues.setdefault(tenant, []).append(item)
         self._length += 1
 
     def heads(self, rank: Ranking[T]) -> list[tuple[str, T]]:
-        """Give the first of each tenant's line, the next to be served first.
+        """Return the first item of each tenant, in the order of service.
 
-        Of two that are alike but for their arrival, the one goes first
-        whose tenant was served longer ago.
+        Among items of equal rank between tenants, the tenant that was served
+        longest ago comes first.
         """
         found = [
-            (tenant, min(line, key=lambda item: rank(item).within))
-            for tenant, line in self._lines.items()
+            (tenant, min(queue, key=lambda item: rank(item).within))
+            for tenant, queue in self._queues.items()
         ]
         found.sort(key=lambda head: rank(head[1]).between)
         return found
 
     def take(self, tenant: str, item: T) -> None:
-        """Take an item that is served; its tenant's turn comes last then."""
-        if self.remove(tenant, item) and tenant in self._lines:
-            self._lines.move_to_end(tenant)
+        """Remove an item that is served and move its tenant to the end."""
+        if self.remove(tenant, item) and tenant in self._queues:
+            self._queues.move_to_end(tenant)
 
     def remove(self, tenant: str, item: T) -> bool:
-        """Take an item out wherever it stands; tell if it was there."""
-        line = self._lines.get(tenant)
-        if line is None or item not in line:
+        """Remove an item; return whether it was in the queue."""
+        queue = self._queues.get(tenant)
+        if queue is None or item not in queue:
             return False
-        line.remove(item)
+        queue.remove(item)
         self._length -= 1
-        if not line:
-            del self._lines[tenant]
+        if not queue:
+            del self._queues[tenant]
         return True
 
 
 @attrs.define
 class ServiceTime:
-    """How long a request keeps a connection, to estimate waits."""
+    """Moving average of the service time, to estimate queueing delays.
 
-    mean: float = INITIAL_SERVICE
+    The service time is how long a request occupies a connection. All times
+    are in seconds.
+    """
+
+    mean: float = INITIAL_SERVICE_TIME_S
 
     def served(self, took: float) -> None:
-        """Take in the time one request kept a connection, in seconds."""
-        self.mean += SERVICE_WEIGHT * (took - self.mean)
+        """Add the time that one request occupied a connection."""
+        self.mean += SERVICE_TIME_WEIGHT * (took - self.mean)
 
     def wait_for(self, ahead: int, width: int) -> float:
-        """Estimate the wait behind ``ahead`` requests.
+        """Return the estimated wait behind ``ahead`` requests.
 
         ``width`` is the number of connections that serve them.
         """
         return ahead * self.mean / max(width, 1)
 
     def retry_after(self, ahead: int, width: int) -> float:
-        """Give the time to state to a caller that is refused."""
+        """Return the delay after which a refused caller should retry."""
         wait = self.wait_for(ahead + 1, width)
-        return min(max(wait, MIN_RETRY_AFTER), MAX_RETRY_AFTER)
+        return min(max(wait, MIN_RETRY_AFTER_S), MAX_RETRY_AFTER_S)
--- a/src/tidegrade/core/_quota.py
+++ b/src/tidegrade/core/_quota.py
@@ -1,12 +1,12 @@
-"""One quota over all proxies: how fast a tenant's operations are granted.
-
-The load pattern: a tenant's callers come through every proxy, some through
-one and some through many, while proxies die, stand still and are cut off
-from each other. One proxy, the tenant's keeper, grants its operations one by
-one. While it sees only part of all proxies it grants that part of the rate,
-so that the keepers on both sides of a cut grant no more than the whole. Who
-becomes keeper has saved up next to nothing and grants little at first: its
-predecessor may be behind a cut that neither has noticed, and grant on.
+"""Rate limit of a tenant across all proxies: a token bucket at one owner.
+
+A tenant's callers come through any number of proxies, while proxies crash,
+freeze and are partitioned from each other. One proxy, the owner of the
+tenant's quota, grants each operation. While it sees only a part of all
+proxies it grants that part of the rate, so that the owners on both sides of
+a network partition together grant no more than the limit. A new owner starts
+with a nearly empty bucket and a reduced rate: its predecessor may still be
+granting on the other side of a partition that neither has detected yet.
 """
 
 from collections.abc import Collection
@@ -18,44 +18,48 @@
 from tidegrade.core import _turns
 from tidegrade import tenants
 
-#: How long after it counts a grant may be given back, in seconds: the time
-#: of an immediate refusal. What comes back later would be granted twice
-#: within the window in which it was sent.
+#: How long after its start time a grant may be returned, in seconds: the
+#: time of an immediate refusal. A grant that is returned later would be
+#: granted a second time within the window in which it was first issued.
 BACK_WITHIN = 0.05
-#: Operations that a new keeper may grant at once. Those of several changes
-#: of keeper in a row must stay below the excess that a quota bears.
+#: Operations that a new owner may grant at once. The sum over several
+#: consecutive changes of owner must stay below the permitted excess.
 START_GRANTS = 2.0
-#: Part of the limit that a new keeper grants at most, and for how long, in
-#: seconds: until whoever kept the tenant before must have noticed a cut. The
-#: two multiplied are less than the half limit of a second that a quota bears.
-NEW_PART = 0.2
+#: Part of the limit that a new owner grants at most, and for how long, in
+#: seconds: until the previous owner must have detected a partition. Their
+#: product is a time at the full limit, and stays below the permitted excess
+#: of half a second.
+NEW_OWNER_PART = 0.2
 NEW_FOR = 2.6
-#: The same for a process that has just started: others turn to it sooner
-#: than they notice a cut, and after a restart of all nobody else grants.
-STARTED_PART = 0.4
-STARTED_FOR = 1.4
-#: Part of the limit that is granted in the place of a keeper that is still
-#: seen alive after ``NEW_FOR``: it grants the whole to those who reach it.
-STAND_IN_PART = 0.05
-#: Time without questions after which standing in begins anew, in seconds: no
-#: shorter than the longest window of a quota.
-STAND_IN_PAUSE = 5.0
-#: How much a proxy counts that was listed just now and not heard: less than
-#: one, since it may be behind a cut that this process has not noticed yet.
+#: The same for an owner whose process has just started: other proxies ask it
+#: sooner than they detect a partition, and after a restart of all proxies no
+#: other proxy grants.
+NEW_PROCESS_PART = 0.4
+NEW_PROCESS_PERIOD_S = 1.4
+#: Part of the limit that a fallback owner grants while it still sees the
+#: usual owner alive after ``NEW_FOR`` seconds: the usual owner grants the
+#: full limit to the proxies that reach it.
+FALLBACK_OWNER_PART = 0.05
+#: Time without requests to the fallback owner after which its fallback
+#: period starts again, in seconds: at least the longest window of a quota.
+FALLBACK_RESET_S = 5.0
+#: Weight of a proxy that was listed just now but not heard from: less than
+#: one, since it may be behind a partition that this process has not detected.
 STARTING_WEIGHT = 0.5
-#: Keepers that are asked for one operation: whoever is cut off from two
-#: failure domains still reaches one of its own.
-MOST_ASKED = 3
+#: Candidates that are asked for one operation: a proxy that is partitioned
+#: from two failure domains still reaches a candidate in its own.
+MAX_CANDIDATES = 3
 
 
 @attrs.frozen
 class Grant:
-    """What a keeper says of one operation.
+    """The owner's decision on one operation.
 
-    If it is ``granted`` it may start after ``wait`` seconds; else ``wait``
-    is the time after which another would be granted. ``part`` is that of
-    all proxies which the keeper sees, and of the limit that it grants.
-    ``at`` is the moment at which it counts, by the keeper's clock.
+    If ``granted``, the operation may start after ``wait`` seconds; otherwise
+    ``wait`` is the time in seconds after which a retry would be granted.
+    ``part`` is the part of all proxies that the owner sees, and so the part
+    of the limit that it grants. ``at`` is the start time that the grant
+    counts for, in seconds on the owner's clock.
     """
 
     granted: bool
@@ -66,11 +70,12 @@
 
 @attrs.frozen
 class Admission:
-    """Whether an operation may start, after which wait, and who said so.
+    """Whether an operation may start, when, and which owner decided.
 
-    A ``wait`` beside a refusal is when to come back; both in seconds. No
-    ``keeper`` is named where none answered, or none was asked; it granted by
-    ``part`` of the limit, at ``at`` by its own clock.
+    ``wait`` is in seconds: the delay before the start, or, for a refusal,
+    before a retry. ``keeper`` is empty if no owner answered or none was
+    asked. The owner granted ``part`` of the limit, for the start time ``at``
+    in seconds on its own clock.
     """
 
     granted: bool
@@ -82,7 +87,7 @@
 
 @attrs.define
 class GrantCounts:
-    """What became of a tenant's questions since the last report."""
+    """Decisions on a tenant's operations since the last report."""
 
     granted: int = 0
     refused: int = 0
@@ -91,69 +96,76 @@
 
 @attrs.define
 class Bucket:
-    """What a tenant has saved up, in operations; below 0 it owes some."""
+    """Token bucket of a tenant; ``level`` is in operations.
+
+    The level is below 0 while granted operations wait for their start.
+    """
 
     tenant: tenants.Tenant
     part: float
     level: float
-    filled_at: float
-    #: Part that is granted at most while this keeper is new, and until when.
+    refilled_at: float
+    #: Highest part of the limit granted until ``new_until``, in seconds.
     new_part: float = 1.0
     new_until: float = float('-inf')
-    #: Since when this proxy grants though it sees the tenant's usual keeper
-    #: alive, and when it did so last.
-    stand_in_since: float | None = None
-    stood_in_at: float = float('-inf')
+    #: When this proxy began to grant although it sees the tenant's usual
+    #: owner alive, and when it last did so, in seconds.
+    fallback_since: float | None = None
+    last_fallback_at: float = float('-inf')
     counts: GrantCounts = attrs.field(factory=GrantCounts)
 
     @property
     def rate(self) -> float:
-        """Give the operations a second that are granted here."""
+        """Operations per second that this proxy grants."""
         return self.tenant.rate * self.part
 
     @property
-    def most(self) -> float:
-        """Give how many operations may be saved up here."""
+    def capacity(self) -> float:
+        """Capacity of the bucket, in operations."""
         return max(1.0, self.tenant.burst * self.part)
 
-    def fill(self, now: float) -> None:
-        """Take in what was earned since the last time."""
-        new = max(0.0, min(now, self.new_until) - self.filled_at)
-        usual = max(0.0, now - max(self.filled_at, self.new_until))
-        little = min(self.part, self.new_part) * self.tenant.rate
-        earned = new * little + usual * self.rate
-        self.level = min(self.level + earned, self.most)
-        self.filled_at = max(self.filled_at, now)
-
-    def stand_in(self, now: float) -> None:
-        """Grant little, and save up nothing, beside the usual keeper."""
-        pause = now - self.stood_in_at
-        if self.stand_in_since is None or pause > STAND_IN_PAUSE:
-            self.stand_in_since = now
-        self.stood_in_at = now
-        late = now - self.stand_in_since >= NEW_FOR
-        self.new_part = STAND_IN_PART if late else NEW_PART
+    def refill(self, now: float) -> None:
+        """Add the operations accrued since the last refill."""
+        reduced_s = max(0.0, min(now, self.new_until) - self.refilled_at)
+        full_s = max(0.0, now - max(self.refilled_at, self.new_until))
+        reduced_rate = min(self.part, self.new_part) * self.tenant.rate
+        accrued = reduced_s * reduced_rate + full_s * self.rate
+        self.level = min(self.level + accrued, self.capacity)
+        self.refilled_at = max(self.refilled_at, now)
+
+    def act_as_fallback(self, now: float) -> None:
+        """Reduce the rate and cap the level beside the usual owner."""
+        pause = now - self.last_fallback_at
+        if self.fallback_since is None or pause > FALLBACK_RESET_S:
+            self.fallback_since = now
+        self.last_fallback_at = now
+        expired = now - self.fallback_since >= NEW_FOR
+        self.new_part = FALLBACK_OWNER_PART if expired else NEW_OWNER_PART
         self.new_until = float('inf')
         self.level = min(self.level, START_GRANTS)
 
-    def be_keeper(self) -> None:
-        """Grant the whole again, ``NEW_FOR`` after standing in began."""
-        if self.stand_in_since is not None:
-            self.new_part = NEW_PART
-            self.new_until = self.stand_in_since + NEW_FOR
-            self.stand_in_since = None
+    def act_as_owner(self) -> None:
+        """End a fallback period.
+
+        The full rate applies from ``NEW_FOR`` seconds after its start.
+        """
+        if self.fallback_since is not None:
+            self.new_part = NEW_OWNER_PART
+            self.new_until = self.fallback_since + NEW_FOR
+            self.fallback_since = None
 
-    def rate_at(self, now: float) -> float:
-        """Give the operations a second that are granted at this moment."""
+    def current_rate(self, now: float) -> float:
+        """Return the operations per second that are granted at ``now``."""
         if now < self.new_until:
             return min(self.part, self.new_part) * self.tenant.rate
         return self.rate
 
 
 class QuotaKeeper:
-    """Grants operations of the tenants that this proxy keeps.
+    """Grants operations of the tenants whose quotas this proxy owns.
 
-    ``part`` is always the share of all proxies that this one sees.
+    ``part`` is always the part of all proxies that this one sees. Times are
+    in seconds.
     """
 
     def __init__(self, started_at: float = float('-inf')) -> None:
@@ -173,14 +185,14 @@
     ) -> Grant:
         """Grant an operation that can wait for ``patience`` seconds.
 
-        ``stands_in`` says that another proxy, which is seen alive, is the
-        tenant's usual keeper, and grants as well.
+        ``stands_in`` means that this proxy sees the tenant's usual owner
+        alive, so that the usual owner may be granting at the same time.
         """
         bucket = self._bucket(tenant, part, now)
         if stands_in:
-            bucket.stand_in(now)
+            bucket.act_as_fallback(now)
         else:
-            bucket.be_keeper()
+            bucket.act_as_owner()
         wait = self._wait(bucket, now)
         if wait > patience:
             bucket.counts.refused += 1
@@ -190,46 +202,47 @@
         return Grant(True, wait, part, now + wait)
 
     def give_back(self, name: str, at: float, now: float) -> bool:
-        """Take back a grant whose operation reached no endpoint.
+        """Return a grant whose operation reached no endpoint.
 
-        It counts at ``at``; False if that is too long ago.
+        ``at`` is the grant's start time. The result is False if the grant
+        is too old, or if its tenant has no bucket here.
         """
         bucket = self._buckets.get(name)
         if bucket is None or now - at > BACK_WITHIN:
             return False
-        bucket.fill(now)
-        bucket.level = min(bucket.level + 1, bucket.most)
+        bucket.refill(now)
+        bucket.level = min(bucket.level + 1, bucket.capacity)
         bucket.counts.given_back += 1
         return True
 
     def observe(self, part: float, now: float) -> None:
-        """Earn by another part from now on."""
+        """Set the part of all proxies that is seen from ``now`` on."""
         for bucket in self._buckets.values():
-            bucket.fill(now)
+            bucket.refill(now)
             bucket.part = part
 
     def paused(self, seconds: float) -> None:
-        """Earn nothing for a time in which this process stood still.
+        """Skip the refill for a time in which this process was frozen.
 
-        Another proxy may have been the keeper meanwhile.
+        Another proxy may have owned the quotas during that time.
         """
         for bucket in self._buckets.values():
-            bucket.filled_at += seconds
+            bucket.refilled_at += seconds
 
     def keep_only(self, names: frozenset[str]) -> None:
-        """Forget the tenants that other proxies keep from now on."""
+        """Drop the buckets of tenants whose quotas other proxies own."""
         for name in self._buckets.keys() - names:
             del self._buckets[name]
 
     def reports(self) -> Iterator[tuple[Bucket, GrantCounts]]:
-        """Give what became of the questions since the last time."""
+        """Yield buckets with their counts since the last report."""
         for bucket in self._buckets.values():
             if bucket.counts != GrantCounts():
                 counts, bucket.counts = bucket.counts, GrantCounts()
                 yield bucket, counts
 
     def level_of(self, name: str) -> float | None:
-        """Give what a tenant has saved up; None if it isn't kept here."""
+        """Return a tenant's level; None if it has no bucket here."""
         bucket = self._buckets.get(name)
         return None if bucket is None else bucket.level
 
@@ -240,65 +253,66 @@
         if bucket is None:
             bucket = self._new_bucket(tenant, part, now)
             self._buckets[tenant.name] = bucket
-        bucket.fill(now)
-        # A lower limit holds for what was saved up before, too.
+        bucket.refill(now)
+        # A lower limit also applies to operations accrued before it.
         bucket.tenant = tenant
         bucket.part = part
-        bucket.level = min(bucket.level, bucket.most)
+        bucket.level = min(bucket.level, bucket.capacity)
         return bucket
 
     def _new_bucket(
         self, tenant: tenants.Tenant, part: float, now: float
     ) -> Bucket:
-        new_part, new_for = NEW_PART, NEW_FOR
+        new_part, new_for = NEW_OWNER_PART, NEW_FOR
         if now - self._started_at < NEW_FOR:
-            new_part, new_for = STARTED_PART, STARTED_FOR
+            new_part, new_for = NEW_PROCESS_PART, NEW_PROCESS_PERIOD_S
         level = min(START_GRANTS, tenant.burst)
         return Bucket(tenant, part, level, now, new_part, now + new_for)
 
     @staticmethod
     def _wait(bucket: Bucket, now: float) -> float:
-        """Give how long it is until one more may start, in seconds."""
+        """Return the time until one more operation may start, in seconds."""
         if bucket.level >= 1:
             return 0.0
-        rate = bucket.rate_at(now)
+        rate = bucket.current_rate(now)
         if rate <= 0:
             return float('inf')
         return (1 - bucket.level) / rate
 
 
 def keepers_of(
-    tenant: str, proxies: Mapping[str, str], passed_over: Collection[str]
+    tenant: str, proxies: Mapping[str, str], excluded: Collection[str]
 ) -> tuple[str, ...]:
-    """Give whom to ask for a grant, the usual keeper first.
+    """Return the proxies to ask for a grant, the usual owner first.
 
-    ``proxies`` are those that take work, with their failure domains. Each
-    further one is of another domain: a keeper that doesn't answer may be cut
-    off with all of its own.
+    ``proxies`` maps the proxies that take work to their failure domains.
+    Each further candidate is in another domain: an owner that does not
+    answer may be partitioned together with its whole domain.
     """
     found: dict[str, str] = {}
-    turns = _turns.first_ones(_work(tenant), proxies, len(proxies))
-    for proxy in turns:
-        if proxy not in passed_over:
+    order = _turns.first_ones(_hash_key(tenant), proxies, len(proxies))
+    for proxy in order:
+        if proxy not in excluded:
             found.setdefault(proxies[proxy], proxy)
-    return tuple(found.values())[:MOST_ASKED]
+    return tuple(found.values())[:MAX_CANDIDATES]
 
 
 def keeps(tenant: str, own: str, proxies: Collection[str]) -> bool:
-    """Tell whether a proxy is the usual keeper of a tenant."""
-    return _turns.first_in_turn(_work(tenant), proxies) == own
+    """Return whether proxy ``own`` is the usual owner of a quota."""
+    return _turns.first_in_turn(_hash_key(tenant), proxies) == own
 
 
 def part_seen(seen: int, known: int, starting: int = 0) -> float:
-    """Give the part of all proxies that is seen; ``known`` counts all.
+    """Return the part of all ``known`` proxies that this one sees.
 
-    Those that were not heard for long count as well: cut off, they grant
-    by their own part. Those that were listed just now count a little: after
-    a restart of all nobody has been heard yet.
+    ``known`` includes proxies that have not been heard from for long: if
+    they are partitioned, they grant their own part. ``starting`` is the
+    number of proxies listed just now, which count with a lower weight:
+    after a restart of all proxies none has been heard from yet.
     """
     return min(1.0, (seen + starting * STARTING_WEIGHT) / max(known, 1))
 
 
-def _work(tenant: str) -> str:
-    """Name the keeping of a tenant's quota, to choose who does it."""
+def _hash_key(tenant: str) -> str:
+    """Return the key that is hashed to choose the quota's owner."""
     return f'quota {tenant}'
--- a/src/tidegrade/core/_sharing.py
+++ b/src/tidegrade/core/_sharing.py
@@ -1,4 +1,4 @@
-"""What a group machine shows others, and takes in from other proxies."""
+"""Group state that proxies exchange with each other."""
 
 from tidegrade.core import _events
 from tidegrade.core import _evidence
@@ -6,18 +6,19 @@
 
 
 def reachable(state: _state.GroupState) -> frozenset[str]:
-    """Give the endpoints that have not failed to answer."""
+    """Return the endpoints without a failed poll since the last answer."""
     return frozenset(
         name for name in state.cfg.endpoints if not state.views[name].failures
     )
 
 
 def to_follow(state: _state.GroupState, now: float) -> frozenset[str]:
-    """Give the replicas that may not be following the primary.
+    """Return the replicas that may not be following the primary.
 
-    Where a promise stops replication, those are the ones that still show
-    one; elsewhere any may have lost its way. Such a promise is kept for a
-    while, since taking it back ends its protection.
+    If a promise stops replication, these are the replicas that still report
+    one; otherwise any replica may follow the wrong endpoint. Such a promise
+    is left in place for some time after the start of the term, since
+    removing it ends the fencing.
     """
     if state.row is None or state.row.attempt is not None:
         return frozenset()
@@ -33,7 +34,7 @@
 
 
 def evidence_of(state: _state.GroupState) -> _evidence.Evidence:
-    """Give what was seen of the group's endpoints in this term."""
+    """Return the evidence about the group's endpoints in this term."""
     term = state.permission.term
     grants = tuple(
         _evidence.MemberGrant(name, grant.promised, grant.sent_at)
@@ -48,7 +49,7 @@
 def take_evidence(
     state: _state.GroupState, event: _events.EvidenceHeard
 ) -> None:
-    """Take in what another proxy saw, if it is of the same term."""
+    """Apply the evidence of another proxy if it is of the same term."""
     heard = event.evidence
     known = state.row.term if state.row is not None else 0
     if heard.term > known:
--- a/src/tidegrade/core/_turns.py
+++ b/src/tidegrade/core/_turns.py
@@ -1,9 +1,10 @@
-"""Who does a piece of work for others: rendezvous hashing.
+"""Rendezvous hashing: which proxies do a piece of work for the others.
 
-Every proxy that knows of the same others gives the same order, another
-piece of work has another order, and one proxy that comes or goes moves
-only what it does itself. A proxy that restarts takes its old place: after
-a loss of power of all, everybody turns to the same ones as before.
+All proxies with the same membership list compute the same order. Each piece
+of work has an order of its own, and a proxy that joins or leaves moves only
+the work that it does itself. Proxies are hashed by VM, so a restarted proxy
+takes its previous place: after a power loss of all VMs, the same VMs do the
+same work as before.
 """
 
 from collections.abc import Collection
@@ -11,41 +12,44 @@
 import functools
 import hashlib
 
-#: Weights that are remembered; more than all proxies times all kinds of
-#: work that one proxy takes part in.
-REMEMBERED = 1 << 16
+#: Size of the cache of weights: more than the number of proxies times the
+#: number of pieces of work that one proxy takes part in.
+CACHED_WEIGHTS = 1 << 16
 
 
 def rank(work: str, own: str, others: Iterable[str]) -> int:
-    """Give this proxy's turn at a piece of work; 0 goes first."""
-    mine = weight(work, own)
-    return sum(weight(work, other) > mine for other in others)
+    """Return the rank of proxy ``own`` for a piece of work; 0 is first."""
+    own_weight = weight(work, own)
+    return sum(weight(work, other) > own_weight for other in others)
 
 
 def first_in_turn(work: str, proxies: Iterable[str]) -> str:
-    """Give the proxy whose turn comes first, in the order of ``rank``."""
+    """Return the proxy of rank 0.
+
+    Raises ValueError if there are no proxies.
+    """
     return max(proxies, key=lambda proxy: weight(work, proxy))
 
 
 def first_ones(
     work: str, proxies: Collection[str], count: int
 ) -> tuple[str, ...]:
-    """Give the first ``count`` proxies, in the order of ``rank``."""
+    """Return the first ``count`` proxies in the order of their rank."""
     order = sorted(proxies, key=lambda p: weight(work, p), reverse=True)
     return tuple(order[:count])
 
 
-@functools.lru_cache(REMEMBERED)
+@functools.lru_cache(CACHED_WEIGHTS)
 def weight(work: str, proxy: str) -> bytes:
-    """Give a proxy's weight for a piece of work; the heaviest goes first."""
+    """Return a proxy's weight for a piece of work; the highest is first."""
     return hashlib.sha256(f'{work}\0{vm_of(proxy)}'.encode()).digest()
 
 
 def vm_of(proxy: str) -> str:
-    """Give the name of a proxy's VM.
+    """Return the name of a proxy's VM.
 
-    A proxy is called after its VM, and after a dot by the run of its
-    process.
+    A proxy's id is the name of its VM, a dot and an id of its process. An id
+    without a dot is returned whole.
     """
     name, _, _ = proxy.rpartition('.')
     return name or proxy
--- a/tests/core/test_config_age.py
+++ b/tests/core/test_config_age.py
@@ -1,4 +1,4 @@
-"""How long ago a configuration was known to be the newest."""
+"""The age of a configuration, and when a proxy reads it itself."""
 
 import pytest
 
@@ -6,13 +6,13 @@
 from tidegrade.core import _config_age
 
 WITHIN = 5.0
-EARLY = _config_age.EARLY * WITHIN
-LATE = _config_age.LATE * WITHIN
+EARLY = _config_age.EARLY_READ_PART * WITHIN
+LATE = _config_age.LATE_READ_PART * WITHIN
 
 
 @pytest.fixture
 def age() -> core.ConfigAge:
-    """Give one whose version 3 was the newest at 100 s."""
+    """A ConfigAge whose version 3 was confirmed as newest at 100 s."""
     made = core.ConfigAge(WITHIN)
     made.adopted(3)
     made.told(3, 100.0, 100.0)
@@ -25,7 +25,7 @@
 
 
 def test_what_an_older_version_shows_does_not_count(age):
-    """That proxy has not heard of version 3 yet, so it knows no more."""
+    """A proxy with an older version has not heard of version 3 yet."""
     age.told(2, 103.0, 104.0)
     assert age.age(104.0) == pytest.approx(4.0)
 
@@ -47,17 +47,17 @@
 
 def test_who_lacks_a_newer_version_reads_sooner(age):
     age.told(4, 101.0, 101.0)
-    soon = 101.0 + _config_age.NEWER_FOR * WITHIN
+    soon = 101.0 + _config_age.PENDING_READ_PART * WITHIN
     assert not age.must_read(False, soon - 0.01)
     assert age.must_read(False, soon + 0.01)
 
 
 def test_readings_in_vain_become_rarer(age):
-    """A platform that answers nobody is not asked four times a second."""
+    """An unresponsive platform is not asked four times a second."""
     times = [
         step / 4 for step in range(240) if age.must_read(True, 110 + step / 4)
     ]
-    assert len(times) <= 60 / _config_age.LONGEST_PAUSE + 4
+    assert len(times) <= 60 / _config_age.MAX_READ_BACKOFF_S + 4
     age.told(3, 171.0, 171.0)
     assert age.must_read(True, 171.0 + EARLY + 0.01)
 
@@ -75,7 +75,7 @@
 
 
 def test_versions_in_quick_succession_make_nobody_read(age):
-    """Each comes within its time; there is always a newer one to come."""
+    """Each version arrives in time, but a newer one is always pending."""
     for step in range(200):
         now = 101.0 + 0.1 * step
         age.told(4 + step, now, now)
--- a/tests/core/test_homes.py
+++ b/tests/core/test_homes.py
@@ -1,4 +1,4 @@
-"""Which proxies serve a group, and how they share its connections."""
+"""Which proxies are homes of a group, and their shares of connections."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -11,7 +11,7 @@
 
 
 def group(max_connections: int) -> config.Group:
-    """Give a group of three endpoints with so many connections each."""
+    """Return a group of three endpoints with ``max_connections`` each."""
     endpoint = config.Endpoint(
         host='h',
         port=1,
@@ -27,7 +27,7 @@
 
 
 def proxies_of(counts: list[int]) -> dict[str, set[str]]:
-    """Give proxies by domain."""
+    """Return proxies by domain, ``counts`` for each domain."""
     return {
         f'd{number}': {f'p{number}-{i}' for i in range(count)}
         for number, count in enumerate(counts)
--- a/tests/core/test_tenant_connections.py
+++ b/tests/core/test_tenant_connections.py
@@ -1,7 +1,7 @@
-"""Connections that belong to one tenant: who uses them, and who must go.
+"""Connections that belong to one tenant: their use and their eviction.
 
-The load pattern: many more tenants than an endpoint takes connections, and
-each connection brings one tenant's statements only.
+There are many more tenants than connections that an endpoint accepts, and
+each connection runs the statements of one tenant only.
 """
 
 import machines
@@ -23,7 +23,7 @@
 def run(
     machine: machines.Machine, number: int, tenant: str, **changes
 ) -> core.Answer:
-    """Have a tenant's read of the primary served, a little later."""
+    """Send a tenant's read of the primary; return its answer."""
     machine.tick()
     machine.read(number, tenant=tenant, max_age=0.0, **changes)
     for _ in range(20):
@@ -90,10 +90,10 @@
 
 
 def test_an_order_to_an_endpoint_that_no_list_names_ends_late(machine):
-    """A supervisor's order named one that had been replaced elsewhere.
+    """Guards against a KeyError that ended the process.
 
-    The process ended by itself with KeyError as it looked up how many
-    attempts to connect that endpoint bears.
+    A supervisor's order names an endpoint that another proxy has replaced.
+    The lookup of the limit on attempts to connect to it raised the error.
     """
     order = core.ControlAsked(1, 'gone', core.StatusJob(), machine.now + 0.1)
     machine.tell(order)
@@ -103,7 +103,11 @@
 
 
 def test_more_connections_are_kept_where_they_belong_to_tenants():
-    """Ten tenants in turn: with half of the cap each would open anew."""
+    """Ten tenants take turns.
+
+    If only half of the endpoint's connections were held, each request would
+    open a new one.
+    """
     machine = machines.Machine(TRAITS, max_connections=12)
     for number in range(50):
         run(machine, number, f't{number % 10}')
--- a/tests/core/test_tenant_homes.py
+++ b/tests/core/test_tenant_homes.py
@@ -1,9 +1,9 @@
-"""What it costs in connections where a tenant's requests are served.
+"""Connections opened, by the choice of the home that serves a tenant.
 
-The load pattern: 26 tenants, a few of them large, whose callers come through
-three homes of a group with endpoints that take few connections. A request
-that is served at the home nearest to its caller meets a connection of its
-tenant seldom; at the one home that keeps the tenant's it mostly does.
+The load: 26 tenants, a few of them large, whose callers come through three
+homes of a group with endpoints that accept few connections. A request served
+at the home nearest to its caller seldom finds an open connection of its
+tenant; at the home that holds the tenant's connections it usually does.
 """
 
 import random
@@ -21,8 +21,8 @@
 REQUESTS = 900
 
 
-def opened(choose) -> int:
-    """Replay the load; give how many connections were opened."""
+def count_opened(choose) -> int:
+    """Run the load; return the number of connections opened."""
     rng = random.Random(7)
     served = {
         home: machines.Machine(TRAITS, max_connections=29, sharers=3)
@@ -43,10 +43,12 @@
 
 
 @pytest.fixture
-def nearest() -> int:
-    return opened(lambda tenant, rng: rng.choice(HOMES))
+def opened_at_nearest() -> int:
+    return count_opened(lambda tenant, rng: rng.choice(HOMES))
 
 
-def test_a_tenant_s_home_opens_far_fewer_connections(nearest):
-    kept = opened(lambda tenant, _: core.home_of_tenant('g', tenant, HOMES))
-    assert kept < 0.6 * nearest
+def test_a_tenant_s_home_opens_far_fewer_connections(opened_at_nearest):
+    by_home = count_opened(
+        lambda tenant, _: core.home_of_tenant('g', tenant, HOMES)
+    )
+    assert by_home < 0.6 * opened_at_nearest
--- a/tests/proofs/test_quota_model.py
+++ b/tests/proofs/test_quota_model.py
@@ -1,13 +1,13 @@
-"""One quota over all proxies, while they are cut off, killed and restarted.
+"""Model of one quota under partitions, crashes, restarts and pauses.
 
-A model of several proxies in three failure domains. Each sees others as they
-were up to ``DETECT`` seconds ago, so that two may take themselves for the
-keeper; questions to whoever is not reached now get no answer. One tenant
-asks at every proxy, far above its limit, or a little.
+The model has several proxies in three failure domains. Each proxy sees the
+others as they were up to ``DETECTION_S`` seconds ago, so two proxies may both
+act as the owner; a request to an unreachable proxy gets no answer. One tenant
+sends operations to every proxy, far above its limit or few.
 
-What is granted in any window must stay below what a quota bears. The same
-model, with proxies that tell each other what they have granted and each
-limit themselves by the sum, finds that this is not enough.
+The grants in any window must not exceed the limit by more than the permitted
+excess. The model also shows that a simpler policy does not ensure this: each
+proxy limits itself by the sum of the totals that all proxies report.
 """
 
 from collections.abc import Iterable
@@ -23,15 +23,16 @@
 from tidegrade import core
 from tidegrade import tenants
 
-#: How old a heartbeat is when it comes, at most: relays pass it on.
-OLDEST = 1.5
-#: Age of the last heartbeat at which a proxy is no longer taken for alive.
-DETECT = 2.6
-WINDOW = 5.0
-#: Part of the limit, and operations, that may be granted above it.
-EXCESS = 0.1
-SLACK = 20
-STEP = 0.05
+#: Highest age of a heartbeat on arrival, in seconds: relays forward it.
+MAX_HEARTBEAT_AGE_S = 1.5
+#: Age of the last heartbeat after which a proxy no longer counts as alive, in
+#: seconds.
+DETECTION_S = 2.6
+WINDOW_S = 5.0
+#: Permitted excess: a part of the limit, and a number of operations.
+EXCESS_PART = 0.1
+EXCESS_OPERATIONS = 20
+STEP_S = 0.05
 ZONES = ('a', 'b', 'c')
 PROXIES = {f'{zone}{n}': zone for zone in ZONES for n in range(3)}
 
@@ -39,21 +40,21 @@
 class Policy(typing.Protocol):
     """Grants operations at the proxies of a model."""
 
-    def admit(self, door: str, model: 'Model') -> bool:
-        """Tell whether an operation may start at a proxy now."""
+    def admit(self, receiver: str, model: 'Model') -> bool:
+        """Return whether an operation may start at a proxy now."""
 
-    def look(self, model: 'Model') -> None:
-        """Take in who sees whom, as time goes on."""
+    def update(self, model: 'Model') -> None:
+        """Update which proxies see which, after each step."""
 
     def restarted(self, proxy: str) -> None:
-        """Note that a proxy has lost all that it knew."""
+        """Reset the state of a proxy that restarted."""
 
-    def stood_still(self, proxy: str, seconds: float) -> None:
-        """Note that a proxy goes on after a pause."""
+    def resumed(self, proxy: str, seconds: float) -> None:
+        """Resume a proxy that was frozen for this time."""
 
 
 class Model:
-    """Who reaches whom, and what was granted when."""
+    """Which proxies reach which, and the times of all grants."""
 
     def __init__(self, policy: Policy, rate: float) -> None:
         self.policy = policy
@@ -62,184 +63,188 @@
         self.down: set[str] = set()
         self.frozen: dict[str, float] = {}
         self.sides: dict[str, int] = dict.fromkeys(PROXIES, 0)
-        #: Failure domains that proxies take for silent, rightly or not.
-        self.doubted: dict[str, set[str]] = {}
+        #: Failure domains that a proxy suspects of being down, rightly or not.
+        self.suspected: dict[str, set[str]] = {}
         self.granted: list[float] = []
-        self.began: dict[str, float] = {}
-        self._met: dict[tuple[str, str], float] = {}
+        self.started_at: dict[str, float] = {}
+        self._heard_at: dict[tuple[str, str], float] = {}
         rng = random.Random(5)
         self._ages = {
-            (one, other): rng.uniform(0, OLDEST)
+            (one, other): rng.uniform(0, MAX_HEARTBEAT_AGE_S)
             for one in PROXIES
             for other in PROXIES
         }
         self.rates = [(self.now, rate)]
 
     def reaches(self, one: str, other: str) -> bool:
-        away = self.down | self.frozen.keys()
-        if one in away or other in away:
+        unavailable = self.down | self.frozen.keys()
+        if one in unavailable or other in unavailable:
             return False
         return self.sides[one] == self.sides[other]
 
-    def seen(self, by: str) -> dict[str, str]:
-        """Give whom a proxy takes for alive, itself included.
+    def seen(self, observer: str) -> dict[str, str]:
+        """Return the proxies that a proxy sees alive, including itself.
 
-        One that has just started also names those that are listed.
+        A proxy that has just started also includes all listed proxies.
         """
-        found = self.heard(by)
-        if self.began.get(by, 0.0) >= self.now - DETECT:
+        found = self.heard(observer)
+        if self.started_at.get(observer, 0.0) >= self.now - DETECTION_S:
             return dict(PROXIES)
         return found
 
-    def trusted(self, by: str) -> dict[str, str]:
-        """Give whom a proxy would ask."""
-        doubted = self.doubted.get(by, set())
-        seen = self.seen(by)
-        near = {p: zone for p, zone in seen.items() if zone not in doubted}
+    def candidates(self, observer: str) -> dict[str, str]:
+        """Return the proxies that a proxy would ask for a grant."""
+        suspected = self.suspected.get(observer, set())
+        seen = self.seen(observer)
+        near = {p: zone for p, zone in seen.items() if zone not in suspected}
         return near or seen
 
-    def heard(self, by: str) -> dict[str, str]:
-        """Give whom a proxy has heard lately, itself included."""
-        oldest = self.now - DETECT
+    def heard(self, observer: str) -> dict[str, str]:
+        """Return the proxies heard from recently, including the proxy."""
+        oldest = self.now - DETECTION_S
         return {
             proxy: zone
             for proxy, zone in PROXIES.items()
-            if proxy == by or self._met.get((by, proxy), 0) >= oldest
+            if proxy == observer
+            or self._heard_at.get((observer, proxy), 0) >= oldest
         }
 
     def restart(self, proxies: Iterable[str]) -> None:
-        """Let proxies start anew, knowing nothing."""
+        """Restart proxies with an empty state."""
         for proxy in proxies:
             self.policy.restarted(proxy)
             self.frozen.pop(proxy, None)
-            self.began[proxy] = self.now
+            self.started_at[proxy] = self.now
         self.down -= set(proxies)
 
     def advance(self, seconds: float, asked: int) -> None:
-        """Let time go on, with this many questions a step at each proxy."""
+        """Advance time, with ``asked`` operations per step and proxy."""
         until = self.now + seconds
         while self.now < until:
-            self.now += STEP
+            self.now += STEP_S
             for one in PROXIES:
                 for other in PROXIES:
                     if self.reaches(one, other):
                         sent = self.now - self._ages[one, other]
-                        met = self._met.get((one, other), 0.0)
-                        self._met[one, other] = max(met, sent)
-            self.policy.look(self)
-            for door in PROXIES:
-                if door in self.down or door in self.frozen:
+                        heard_at = self._heard_at.get((one, other), 0.0)
+                        self._heard_at[one, other] = max(heard_at, sent)
+            self.policy.update(self)
+            for receiver in PROXIES:
+                if receiver in self.down or receiver in self.frozen:
                     continue
                 for _ in range(asked):
-                    if self.policy.admit(door, self):
+                    if self.policy.admit(receiver, self):
                         self.granted.append(self.now)
         self.check()
 
     def check(self) -> None:
-        """Hold the grants of the last windows against the limit."""
-        recent = [t for t in self.granted if t > self.now - 2 * WINDOW]
+        """Check that the grants of recent windows are within the limit."""
+        recent = [t for t in self.granted if t > self.now - 2 * WINDOW_S]
         for at in recent:
-            count = sum(at <= t < at + WINDOW for t in recent)
-            rate = max(r for t, r in self.rates if t <= at + WINDOW)
-            limit = rate * WINDOW + rate
-            assert count <= limit * (1 + EXCESS) + SLACK, (count, limit)
+            count = sum(at <= t < at + WINDOW_S for t in recent)
+            rate = max(r for t, r in self.rates if t <= at + WINDOW_S)
+            limit = rate * WINDOW_S + rate
+            assert count <= limit * (1 + EXCESS_PART) + EXCESS_OPERATIONS, (
+                count,
+                limit,
+            )
 
 
-class Keepers:
-    """The policy of the product: one proxy keeps the tenant's quota."""
+class OwnerPolicy:
+    """The policy of tidegrade: one proxy owns the tenant's quota."""
 
     def __init__(self) -> None:
-        self._keepers = {p: core.QuotaKeeper() for p in PROXIES}
+        self._owners = {p: core.QuotaKeeper() for p in PROXIES}
         self._now = 0.0
         self._seen: dict[str, set[str]] = {}
 
-    def admit(self, door: str, model: Model) -> bool:
+    def admit(self, receiver: str, model: Model) -> bool:
         name = model.tenant.name
         instead_of = ''
-        for keeper in core.keepers_of(name, model.trusted(door), ()):
-            if keeper == door or model.reaches(door, keeper):
-                return self._grant(keeper, instead_of, model)
-            instead_of = instead_of or PROXIES[keeper]
+        for owner in core.keepers_of(name, model.candidates(receiver), ()):
+            if owner == receiver or model.reaches(receiver, owner):
+                return self._grant(owner, instead_of, model)
+            instead_of = instead_of or PROXIES[owner]
         return False
 
-    def _grant(self, keeper: str, instead_of: str, model: Model) -> bool:
-        part = self._part(keeper, instead_of, model)
+    def _grant(self, owner: str, instead_of: str, model: Model) -> bool:
+        part = self._part(owner, instead_of, model)
         name = model.tenant.name
-        grant = self._keepers[keeper].grant(
+        grant = self._owners[owner].grant(
             model.tenant,
             part,
             0.0,
             model.now,
-            stands_in=not core.keeps(name, keeper, model.seen(keeper)),
+            stands_in=not core.keeps(name, owner, model.seen(owner)),
         )
         return grant.granted
 
-    def _part(self, keeper: str, instead_of: str, model: Model) -> float:
-        heard = model.heard(keeper)
-        starting = model.seen(keeper).keys() - heard.keys()
+    def _part(self, owner: str, instead_of: str, model: Model) -> float:
+        heard = model.heard(owner)
+        starting = model.seen(owner).keys() - heard.keys()
         count = sum(zone != instead_of for zone in heard.values())
         new = sum(PROXIES[proxy] != instead_of for proxy in starting)
         return core.part_seen(count, len(PROXIES), new)
 
-    def look(self, model: Model) -> None:
+    def update(self, model: Model) -> None:
         self._now = model.now
-        for proxy, keeper in self._keepers.items():
+        for proxy, owner in self._owners.items():
             seen = model.seen(proxy)
             if self._seen.get(proxy) != set(seen):
                 self._seen[proxy] = set(seen)
                 kept = core.keeps(model.tenant.name, proxy, seen)
                 names = frozenset({model.tenant.name} if kept else ())
-                keeper.keep_only(names)
+                owner.keep_only(names)
             if proxy not in model.frozen:
-                keeper.observe(self._part(proxy, '', model), model.now)
+                owner.observe(self._part(proxy, '', model), model.now)
 
     def restarted(self, proxy: str) -> None:
-        self._keepers[proxy] = core.QuotaKeeper(self._now)
+        self._owners[proxy] = core.QuotaKeeper(self._now)
         self._seen.pop(proxy, None)
 
-    def stood_still(self, proxy: str, seconds: float) -> None:
-        self._keepers[proxy].paused(seconds)
+    def resumed(self, proxy: str, seconds: float) -> None:
+        self._owners[proxy].paused(seconds)
 
 
-class WholeRate(Keepers):
-    """Keepers that grant the whole rate, however few proxies they see."""
+class FullRate(OwnerPolicy):
+    """Owners that grant the full rate, however few proxies they see."""
 
-    def _part(self, keeper: str, instead_of: str, model: Model) -> float:
+    def _part(self, owner: str, instead_of: str, model: Model) -> float:
         return 1.0
 
 
-class ToldTotals:
-    """Each proxy limits itself by the sum of what all have told it."""
+class ReportedTotals:
+    """Each proxy limits itself by the sum of the reported totals."""
 
     def __init__(self) -> None:
         self._granted: dict[str, list[float]] = {p: [] for p in PROXIES}
 
-    def admit(self, door: str, model: Model) -> bool:
-        since = model.now - WINDOW
+    def admit(self, receiver: str, model: Model) -> bool:
+        since = model.now - WINDOW_S
         total = sum(
             sum(t > since for t in self._granted[proxy])
-            for proxy in model.seen(door)
-            if proxy == door or model.reaches(door, proxy)
+            for proxy in model.seen(receiver)
+            if proxy == receiver or model.reaches(receiver, proxy)
         )
-        if total >= model.tenant.rate * WINDOW + model.tenant.burst:
+        if total >= model.tenant.rate * WINDOW_S + model.tenant.burst:
             return False
-        self._granted[door].append(model.now)
+        self._granted[receiver].append(model.now)
         return True
 
-    def look(self, model: Model) -> None:
+    def update(self, model: Model) -> None:
         pass
 
     def restarted(self, proxy: str) -> None:
         self._granted[proxy] = []
 
-    def stood_still(self, proxy: str, seconds: float) -> None:
+    def resumed(self, proxy: str, seconds: float) -> None:
         pass
 
 
 class Machine(stateful.RuleBasedStateMachine):
-    """Histories of cuts, kills, restarts, pauses and changes of the limit."""
+    """Histories of partitions, crashes, restarts, pauses and new limits."""
 
-    make_policy: typing.ClassVar[typing.Callable[[], Policy]] = Keepers
+    make_policy: typing.ClassVar[typing.Callable[[], Policy]] = OwnerPolicy
 
     @stateful.initialize(rate=st.sampled_from([4.0, 20.0, 60.0]))
     def begin(self, rate):
@@ -255,8 +260,8 @@
 
     @stateful.rule(zone=st.sampled_from(ZONES))
     def a_domain_is_cut_off(self, zone):
-        for proxy, of in PROXIES.items():
-            self.model.sides[proxy] = int(of == zone)
+        for proxy, domain in PROXIES.items():
+            self.model.sides[proxy] = int(domain == zone)
 
     @stateful.rule(proxy=st.sampled_from(sorted(PROXIES)))
     def a_proxy_is_cut_off(self, proxy):
@@ -286,7 +291,7 @@
     @stateful.rule()
     def those_that_stood_still_go_on(self):
         for proxy, since in self.model.frozen.items():
-            self.model.policy.stood_still(proxy, self.model.now - since)
+            self.model.policy.resumed(proxy, self.model.now - since)
         self.model.frozen.clear()
 
     @stateful.rule(rate=st.sampled_from([4.0, 20.0, 60.0]))
@@ -296,10 +301,10 @@
         self.model.rates.append((self.model.now, rate))
 
 
-class ToldMachine(Machine):
-    """The same histories for proxies that tell each other their totals."""
+class ReportedTotalsMachine(Machine):
+    """The same histories for proxies that report totals to each other."""
 
-    make_policy = ToldTotals
+    make_policy = ReportedTotals
 
 
 HISTORIES = settings(
@@ -311,25 +316,25 @@
 )
 
 
-def play(machine: type[Machine]) -> None:
+def run_histories(machine: type[Machine]) -> None:
     stateful.run_state_machine_as_test(machine, settings=HISTORIES)
 
 
 def test_no_window_holds_more_than_a_quota_bears():
-    play(Machine)
+    run_histories(Machine)
 
 
 def test_totals_that_are_told_are_not_enough():
     with pytest.raises(AssertionError):
-        play(ToldMachine)
+        run_histories(ReportedTotalsMachine)
 
 
 def cut_a_domain(policy: Policy, zone: str) -> None:
-    """Let a tenant ask for all it can while a domain is cut off."""
+    """Send operations far above the limit while a domain is cut off."""
     model = Model(policy, 60.0)
     model.advance(3.0, 3)
-    for proxy, of in PROXIES.items():
-        model.sides[proxy] = int(of == zone)
+    for proxy, domain in PROXIES.items():
+        model.sides[proxy] = int(domain == zone)
     model.advance(8.0, 3)
     model.sides = dict.fromkeys(PROXIES, 0)
     model.advance(3.0, 3)
@@ -337,10 +342,10 @@
 
 @pytest.mark.parametrize('zone', ZONES)
 def test_the_keepers_on_both_sides_of_a_cut_share_the_limit(zone):
-    cut_a_domain(Keepers(), zone)
+    cut_a_domain(OwnerPolicy(), zone)
 
 
-@pytest.mark.parametrize('policy', [WholeRate, ToldTotals])
+@pytest.mark.parametrize('policy', [FullRate, ReportedTotals])
 def test_a_cut_shows_the_fault_of_others(policy):
     with pytest.raises(AssertionError):
         cut_a_domain(policy(), 'a')
@@ -348,7 +353,7 @@
 
 @pytest.mark.parametrize('asked', [1, 3])
 def test_a_restart_of_all_hands_out_nothing_twice(asked):
-    policy = Keepers()
+    policy = OwnerPolicy()
     model = Model(policy, 60.0)
     model.advance(3.0, 0)
     for _ in range(4):
@@ -358,24 +363,27 @@
 
 @pytest.mark.parametrize('zone', ZONES)
 def test_a_restart_behind_a_cut_hands_out_no_more(zone):
-    model = Model(Keepers(), 60.0)
+    model = Model(OwnerPolicy(), 60.0)
     model.advance(3.0, 3)
-    for proxy, of in PROXIES.items():
-        model.sides[proxy] = int(of == zone)
+    for proxy, domain in PROXIES.items():
+        model.sides[proxy] = int(domain == zone)
     model.advance(2.0, 3)
-    model.restart([proxy for proxy, of in PROXIES.items() if of == zone])
+    model.restart(
+        [proxy for proxy, domain in PROXIES.items() if domain == zone]
+    )
     model.advance(4.0, 3)
 
 
 @pytest.mark.parametrize('first', range(0, 9, 2))
 def test_keepers_on_both_sides_of_a_split_share_the_limit(first):
-    """A third of all proxies, of every domain, were split from the others.
+    """Guards against excess grants when a third of all proxies is cut off.
 
-    The keeper granted the whole limit until it noticed, 2.6 s later, and the
-    one that was asked in its place two thirds: 622 operations in 5 s, of
-    which 607 are borne, at a limit of 89 a second.
+    The proxies are from every domain. The owner granted the full limit until
+    it detected the partition 2.6 s later, and the fallback owner two thirds:
+    622 operations in 5 s at a limit of 89 per second, where 607 are
+    permitted.
     """
-    model = Model(Keepers(), 90.0)
+    model = Model(OwnerPolicy(), 90.0)
     model.advance(5.0, 3)
     names = sorted(PROXIES)
     for number in range(3):
@@ -387,18 +395,19 @@
 
 @pytest.mark.parametrize('share', [1, 2, 6])
 def test_a_keeper_that_is_doubted_in_vain_grants_beside_no_other(share):
-    """Operations beyond a quota ran on a day without a fault.
+    """Guards against operations above the quota without any real failure.
 
-    What happens: some proxies take the keeper's failure domain for silent
-    now and then, and ask another. Why: that one granted the whole as well,
-    and saved up a burst.
+    Some proxies at times wrongly suspect the failure domain of the owner and
+    ask the fallback owner, which granted the full limit and a burst as well.
     """
-    model = Model(Keepers(), 60.0)
+    model = Model(OwnerPolicy(), 60.0)
     model.advance(8.0, 0)
     usual, *_ = core.keepers_of('acme', PROXIES, ())
-    doubting = [p for p in PROXIES if PROXIES[p] != PROXIES[usual]][:share]
+    suspecting = [p for p in PROXIES if PROXIES[p] != PROXIES[usual]][:share]
     for asked in [0] * 20 + [1] * 20 + [3] * 20:
-        model.doubted = {door: {PROXIES[usual]} for door in doubting}
+        model.suspected = {
+            receiver: {PROXIES[usual]} for receiver in suspecting
+        }
         model.advance(0.1, asked)
-        model.doubted = {}
+        model.suspected = {}
         model.advance(0.4, asked)
