--- a/src/tidegrade/core/__init__.py
+++ b/src/tidegrade/core/__init__.py
@@ -70,13 +70,18 @@
 from tidegrade.core._jobs import StatusJob
 from tidegrade.core._jobs import WriteJob
 from tidegrade.core._quota import Admission
-from tidegrade.core._quota import BACK_WITHIN
 from tidegrade.core._quota import Grant
-from tidegrade.core._quota import keepers_of
-from tidegrade.core._quota import keeps
-from tidegrade.core._quota import part_seen
-from tidegrade.core._quota import QuotaKeeper
-from tidegrade.core._quota import START_GRANTS
+from tidegrade.core._quota import GRANT_RETURN_PERIOD_S
+from tidegrade.core._quota import INITIAL_GRANTS
+from tidegrade.core._quota import owns_quota
+from tidegrade.core._quota import quota_owners
+from tidegrade.core._quota import QuotaOwner
+from tidegrade.core._quota import visible_part
+from tidegrade.core._rendezvous import highest_ranked
+from tidegrade.core._rendezvous import rank
+from tidegrade.core._rendezvous import top_ranked
+from tidegrade.core._rendezvous import vm_of
+from tidegrade.core._rendezvous import weight
 from tidegrade.core._routing import PrimaryAfterWrite
 from tidegrade.core._routing import PrimaryOnly
 from tidegrade.core._routing import ReadPolicy
@@ -93,11 +98,6 @@
 from tidegrade.core._token import SessionToken
 from tidegrade.core._traits import POSTGRESQL
 from tidegrade.core._traits import Traits
-from tidegrade.core._turns import first_in_turn
-from tidegrade.core._turns import first_ones
-from tidegrade.core._turns import rank
-from tidegrade.core._turns import vm_of
-from tidegrade.core._turns import weight
 from tidegrade.core._types import Answer
 from tidegrade.core._types import Code
 from tidegrade.core._types import EndpointReport
@@ -114,12 +114,12 @@
 from tidegrade.core._types import Trace
 
 __all__ = [
-    'BACK_WITHIN',
+    'GRANT_RETURN_PERIOD_S',
+    'INITIAL_GRANTS',
     'LONGEST_DELAY',
     'LONGEST_PAUSE',
     'NO_LOSS',
     'POSTGRESQL',
-    'START_GRANTS',
     'TERMS_A_GENERATION',
     'Admission',
     'Adoption',
@@ -175,7 +175,7 @@
     'PrimaryAfterWrite',
     'PrimaryOnly',
     'PromoteJob',
-    'QuotaKeeper',
+    'QuotaOwner',
     'ReadJob',
     'ReadPolicy',
     'Registered',
@@ -204,20 +204,20 @@
     'Traits',
     'WriteJob',
     'expected_homes',
-    'first_in_turn',
-    'first_ones',
+    'highest_ranked',
     'home_of_tenant',
     'homes',
     'invariant',
     'is_down',
     'is_newer',
-    'keepers_of',
-    'keeps',
     'owner_of',
-    'part_seen',
+    'owns_quota',
+    'quota_owners',
     'rank',
     'shifted',
     'shifted_request',
+    'top_ranked',
+    'visible_part',
     'vm_of',
     'weight',
 ]
--- a/src/tidegrade/core/_config_age.py
+++ b/src/tidegrade/core/_config_age.py
@@ -58,7 +58,7 @@
     _not_before: float = float('-inf')
     _backoff_s: float = MIN_READ_BACKOFF_S
 
-    def told(self, version: int, at: float, now: float) -> None:
+    def note_newest(self, version: int, at: float, now: float) -> None:
         """Record that ``version`` was the newest one at time ``at``."""
         if version < self.version:
             return
@@ -87,7 +87,7 @@
             return None
         return max(0.0, now - self._confirmed_at)
 
-    def must_read(self, early: bool, now: float) -> bool:
+    def should_read(self, early: bool, now: float) -> bool:
         """Return whether this proxy should read from the platform itself.
 
         ``early`` means that it is among the first proxies that should. Each
--- a/src/tidegrade/core/_controls.py
+++ b/src/tidegrade/core/_controls.py
@@ -42,14 +42,12 @@
         )
 
     def _run_one(self, control: _events.ControlAsked, now: float) -> None:
-        conn = self._state.pool.idle_any(control.endpoint)
+        conn = self._state.pool.any_idle(control.endpoint)
         if conn is None:
             # A change of the primary waits for this: nothing is worth a
             # connection more.
             own = self._state.own_tenant
-            self._state.open_if_allowed(
-                control.endpoint, own, now, pressed=True
-            )
+            self._state.open_if_allowed(control.endpoint, own, now, grow=True)
             return
         self._waiting.remove(control)
         self._state.run(conn, control.job, control, control.deadline, now)
--- a/src/tidegrade/core/_sharing.py
+++ b/src/tidegrade/core/_exchange.py
@@ -46,7 +46,7 @@
     return _evidence.Evidence(term, grants, newest.lsn, newest.at)
 
 
-def take_evidence(
+def apply_evidence(
     state: _state.GroupState, event: _events.EvidenceHeard
 ) -> None:
     """Apply the evidence of another proxy if it is of the same term."""
--- a/src/tidegrade/core/_failover.py
+++ b/src/tidegrade/core/_failover.py
@@ -27,10 +27,10 @@
 from tidegrade.core import _jobs
 from tidegrade.core import _membership
 from tidegrade.core import _permission
+from tidegrade.core import _rendezvous
 from tidegrade.core import _row
 from tidegrade.core import _supervision as sv
 from tidegrade.core import _traits
-from tidegrade.core import _turns
 from tidegrade.core import _types
 from tidegrade.core import _watching
 
@@ -186,7 +186,7 @@
         assert seen is not None
         if now - self._last_follow < FOLLOW_INTERVAL:
             return
-        if _turns.rank(self._group, self._proxy, seen.peers) != 0:
+        if _rendezvous.rank(self._group, self._proxy, seen.peers) != 0:
             return
         if seen.row is None or seen.row.primary not in seen.cfg.endpoints:
             return
--- a/src/tidegrade/core/_group.py
+++ b/src/tidegrade/core/_group.py
@@ -14,6 +14,7 @@
 from tidegrade.core import _dispatch
 from tidegrade.core import _events
 from tidegrade.core import _evidence
+from tidegrade.core import _exchange
 from tidegrade.core import _jobs
 from tidegrade.core import _pending
 from tidegrade.core import _permission
@@ -25,7 +26,6 @@
 from tidegrade.core import _retry
 from tidegrade.core import _row
 from tidegrade.core import _shares
-from tidegrade.core import _sharing
 from tidegrade.core import _state
 from tidegrade.core import _txns
 from tidegrade.core import _types
@@ -140,15 +140,15 @@
 
     def reachable(self) -> frozenset[str]:
         """Give the endpoints that have not failed to answer."""
-        return _sharing.reachable(self._state)
+        return _exchange.reachable(self._state)
 
     def to_follow(self, now: float) -> frozenset[str]:
         """Give the replicas that may not be following the primary."""
-        return _sharing.to_follow(self._state, now)
+        return _exchange.to_follow(self._state, now)
 
     def evidence(self) -> _evidence.Evidence:
         """Give what was seen here, to tell other proxies."""
-        return _sharing.evidence_of(self._state)
+        return _exchange.evidence_of(self._state)
 
     def leaving(self, endpoint: str) -> bool:
         """Tell whether an endpoint is being left."""
@@ -385,7 +385,7 @@
         for name in event.cfg.endpoints:
             state.views.setdefault(name, _view.EndpointView(name))
         for conn in state.pool:
-            most = state.pool.share(conn.endpoint).most
+            most = state.pool.share(conn.endpoint).limit
             over = len(state.pool.of(conn.endpoint)) > most
             if over and conn.state is _pool.ConnState.IDLE:
                 state.close(conn)
@@ -412,7 +412,7 @@
     def _evidence_heard(
         self, event: _events.EvidenceHeard, now: float
     ) -> None:
-        _sharing.take_evidence(self._state, event)
+        _exchange.apply_evidence(self._state, event)
 
     def _paused(self, event: _events.Paused, now: float) -> None:
         self._excuse(now)
@@ -473,7 +473,7 @@
     def _close_overdue_conns(self, now: float) -> None:
         for conn in self._polls.stuck(now):
             self._state.views[conn.endpoint].failed(False, now)
-            self._state.pool.give_up_opening(conn, now)
+            self._state.pool.opening_timed_out(conn, now)
             self._state.close(conn)
         for conn in self._state.pool:
             if conn.job is not None and conn.deadline <= now:
@@ -481,7 +481,7 @@
                 self._job_over(conn, late, now)
 
     def _give_back_conns(self, now: float) -> None:
-        for conn in self._state.pool.spare(now):
+        for conn in self._state.pool.surplus(now):
             self._state.close(conn)
 
     def _refuse_without_prospect(self, now: float) -> None:
--- a/src/tidegrade/core/_homes.py
+++ b/src/tidegrade/core/_homes.py
@@ -12,7 +12,7 @@
 import attrs
 
 from tidegrade import config
-from tidegrade.core import _turns
+from tidegrade.core import _rendezvous
 
 #: Highest number of homes of a group in one failure domain: enough that the
 #: group tolerates the loss of some, few enough that each is well used.
@@ -53,7 +53,7 @@
     max_homes = MAX_TENANT_HOMES if by_tenant else MAX_HOMES
     per_domain = min(max_homes, _per_domain(cfg, len(proxies)))
     others = (proxy for proxy in proxies[domain] if proxy != own)
-    own_rank = _turns.rank(f'home {group}', own, others)
+    own_rank = _rendezvous.rank(f'home {group}', own, others)
     count = sum(min(per_domain, len(found)) for found in proxies.values())
     return Homes(own_rank < per_domain, count)
 
@@ -83,13 +83,13 @@
     return tuple(
         proxy
         for found in proxies.values()
-        for proxy in _turns.first_ones(f'home {group}', found, per_domain)
+        for proxy in _rendezvous.top_ranked(f'home {group}', found, per_domain)
     )
 
 
 def home_of_tenant(group: str, tenant: str, homes: Iterable[str]) -> str:
     """Return the home that holds a tenant's connections to a group."""
-    return _turns.first_in_turn(f'home {group} {tenant}', homes)
+    return _rendezvous.highest_ranked(f'home {group} {tenant}', homes)
 
 
 def owner_of(txn: str) -> str:
--- a/src/tidegrade/core/_hung_polls.py
+++ b/src/tidegrade/core/_hung_polls.py
@@ -45,7 +45,7 @@
         """Record that a poll of an endpoint is sent."""
         self._silent_since.setdefault(name, now)
 
-    def look_after(self, name: str, now: float) -> bool:
+    def repeat_hung(self, name: str, now: float) -> bool:
         """Poll on another connection if a job of an endpoint hangs.
 
         Returns whether a poll of the endpoint is outstanding.
@@ -128,7 +128,7 @@
         other = pool.last_used_idle(name)
         if other is None or other.sent_at <= hung.sent_at:
             own = self._state.own_tenant
-            self._state.open_if_allowed(name, own, now, pressed=True)
+            self._state.open_if_allowed(name, own, now, grow=True)
             if pool.opening(name) or not pool.share_is_full(name):
                 return True
         if other is None:
--- a/src/tidegrade/core/_polls.py
+++ b/src/tidegrade/core/_polls.py
@@ -122,7 +122,7 @@
         """Poll each endpoint whose report is due."""
         lacking = self._confirmations.lacking()
         for name in self._state.cfg.endpoints:
-            if self._hung.look_after(name, now):
+            if self._hung.repeat_hung(name, now):
                 continue
             sent_at = self._sent.get(name, float('-inf'))
             if name in lacking:
@@ -156,7 +156,7 @@
         return True
 
     def _poll(self, name: str, now: float) -> None:
-        conn = self._state.pool.idle_any(name)
+        conn = self._state.pool.any_idle(name)
         if conn is None:
             self._open_first(name, now)
             return
--- a/src/tidegrade/core/_pool.py
+++ b/src/tidegrade/core/_pool.py
@@ -97,14 +97,14 @@
                 return conn
         return None
 
-    def idle_any(self, endpoint: str) -> Conn | None:
+    def any_idle(self, endpoint: str) -> Conn | None:
         """Return any idle connection, for the proxy's own statements."""
         for conn in self._by_endpoint.get(endpoint, ()):
             if conn.state is ConnState.IDLE:
                 return conn
         return None
 
-    def least_used(self, endpoint: str, tenant: str | None) -> Conn | None:
+    def longest_idle(self, endpoint: str, tenant: str | None) -> Conn | None:
         """Return the longest idle connection of another tenant, or None."""
         conns = self._by_endpoint.get(endpoint, ())
         found = (
@@ -149,7 +149,7 @@
         conns = self._by_endpoint.get(endpoint, ())
         return sum(conn.state is ConnState.OPENING for conn in conns)
 
-    def spare(self, now: float) -> list[Conn]:
+    def surplus(self, now: float) -> list[Conn]:
         """Return idle connections above the usual number, to be closed.
 
         The newest are returned first, since jobs go to the oldest idle one.
@@ -170,24 +170,24 @@
         self,
         endpoint: str,
         now: float,
-        pressed: bool = False,
+        grow: bool = False,
         has_tenants: bool = False,
     ) -> bool:
         """Return whether the share and the backoff allow another attempt.
 
-        ``pressed`` means that requests have waited long enough to exceed
+        ``grow`` means that requests have waited long enough to exceed
         the usual number; ``has_tenants``, that connections belong to tenants.
         """
         open_count = len(self._by_endpoint.get(endpoint, ()))
         backoff = self._backoffs.get(endpoint)
         if backoff is not None and now < backoff.not_before:
             return False
-        return self.share(endpoint).allows(open_count, pressed, has_tenants)
+        return self.share(endpoint).allows(open_count, grow, has_tenants)
 
     def share_is_full(self, endpoint: str) -> bool:
         """Return whether the connections to an endpoint use up the share."""
         open_count = len(self._by_endpoint.get(endpoint, ()))
-        return open_count >= self.share(endpoint).most
+        return open_count >= self.share(endpoint).limit
 
     def opening(self, endpoint: str) -> bool:
         """Return whether a connection to an endpoint is being opened."""
@@ -205,7 +205,7 @@
         conns = self._by_endpoint.setdefault(endpoint, [])
         conns.append(conn)
         _types.invariant(
-            len(conns) <= self.share(endpoint).most,
+            len(conns) <= self.share(endpoint).limit,
             'more connections to the endpoint than its share allows',
         )
         return conn
@@ -216,7 +216,7 @@
             conn.state = ConnState.IDLE
         self._backoffs.pop(conn.endpoint, None)
 
-    def give_up_opening(self, conn: Conn, now: float) -> None:
+    def opening_timed_out(self, conn: Conn, now: float) -> None:
         """Back off after an attempt to connect that timed out."""
         self._back_off(conn.endpoint, now)
 
--- a/src/tidegrade/core/_quota.py
+++ b/src/tidegrade/core/_quota.py
@@ -15,29 +15,29 @@
 
 import attrs
 
-from tidegrade.core import _turns
+from tidegrade.core import _rendezvous
 from tidegrade import tenants
 
 #: How long after its start time a grant may be returned, in seconds: the
 #: time of an immediate refusal. A grant that is returned later would be
 #: granted a second time within the window in which it was first issued.
-BACK_WITHIN = 0.05
+GRANT_RETURN_PERIOD_S = 0.05
 #: Operations that a new owner may grant at once. The sum over several
 #: consecutive changes of owner must stay below the permitted excess.
-START_GRANTS = 2.0
+INITIAL_GRANTS = 2.0
 #: Part of the limit that a new owner grants at most, and for how long, in
 #: seconds: until the previous owner must have detected a partition. Their
 #: product is a time at the full limit, and stays below the permitted excess
 #: of half a second.
 NEW_OWNER_PART = 0.2
-NEW_FOR = 2.6
+NEW_OWNER_PERIOD_S = 2.6
 #: The same for an owner whose process has just started: other proxies ask it
 #: sooner than they detect a partition, and after a restart of all proxies no
 #: other proxy grants.
 NEW_PROCESS_PART = 0.4
 NEW_PROCESS_PERIOD_S = 1.4
 #: Part of the limit that a fallback owner grants while it still sees the
-#: usual owner alive after ``NEW_FOR`` seconds: the usual owner grants the
+#: usual owner alive after ``NEW_OWNER_PERIOD_S``: the usual owner grants the
 #: full limit to the proxies that reach it.
 FALLBACK_OWNER_PART = 0.05
 #: Time without requests to the fallback owner after which its fallback
@@ -73,14 +73,14 @@
     """Whether an operation may start, when, and which owner decided.
 
     ``wait`` is in seconds: the delay before the start, or, for a refusal,
-    before a retry. ``keeper`` is empty if no owner answered or none was
+    before a retry. ``owner`` is empty if no owner answered or none was
     asked. The owner granted ``part`` of the limit, for the start time ``at``
     in seconds on its own clock.
     """
 
     granted: bool
     wait: float = 0.0
-    keeper: str = ''
+    owner: str = ''
     part: float = 1.0
     at: float = 0.0
 
@@ -105,9 +105,9 @@
     part: float
     level: float
     refilled_at: float
-    #: Highest part of the limit granted until ``new_until``, in seconds.
-    new_part: float = 1.0
-    new_until: float = float('-inf')
+    #: Highest part of the limit granted until ``reduced_until``, in seconds.
+    reduced_part: float = 1.0
+    reduced_until: float = float('-inf')
     #: When this proxy began to grant although it sees the tenant's usual
     #: owner alive, and when it last did so, in seconds.
     fallback_since: float | None = None
@@ -126,9 +126,9 @@
 
     def refill(self, now: float) -> None:
         """Add the operations accrued since the last refill."""
-        reduced_s = max(0.0, min(now, self.new_until) - self.refilled_at)
-        full_s = max(0.0, now - max(self.refilled_at, self.new_until))
-        reduced_rate = min(self.part, self.new_part) * self.tenant.rate
+        reduced_s = max(0.0, min(now, self.reduced_until) - self.refilled_at)
+        full_s = max(0.0, now - max(self.refilled_at, self.reduced_until))
+        reduced_rate = min(self.part, self.reduced_part) * self.tenant.rate
         accrued = reduced_s * reduced_rate + full_s * self.rate
         self.level = min(self.level + accrued, self.capacity)
         self.refilled_at = max(self.refilled_at, now)
@@ -139,29 +139,29 @@
         if self.fallback_since is None or pause > FALLBACK_RESET_S:
             self.fallback_since = now
         self.last_fallback_at = now
-        expired = now - self.fallback_since >= NEW_FOR
-        self.new_part = FALLBACK_OWNER_PART if expired else NEW_OWNER_PART
-        self.new_until = float('inf')
-        self.level = min(self.level, START_GRANTS)
+        expired = now - self.fallback_since >= NEW_OWNER_PERIOD_S
+        self.reduced_part = FALLBACK_OWNER_PART if expired else NEW_OWNER_PART
+        self.reduced_until = float('inf')
+        self.level = min(self.level, INITIAL_GRANTS)
 
     def act_as_owner(self) -> None:
         """End a fallback period.
 
-        The full rate applies from ``NEW_FOR`` seconds after its start.
+        The full rate applies ``NEW_OWNER_PERIOD_S`` after its start.
         """
         if self.fallback_since is not None:
-            self.new_part = NEW_OWNER_PART
-            self.new_until = self.fallback_since + NEW_FOR
+            self.reduced_part = NEW_OWNER_PART
+            self.reduced_until = self.fallback_since + NEW_OWNER_PERIOD_S
             self.fallback_since = None
 
     def current_rate(self, now: float) -> float:
         """Return the operations per second that are granted at ``now``."""
-        if now < self.new_until:
-            return min(self.part, self.new_part) * self.tenant.rate
+        if now < self.reduced_until:
+            return min(self.part, self.reduced_part) * self.tenant.rate
         return self.rate
 
 
-class QuotaKeeper:
+class QuotaOwner:
     """Grants operations of the tenants whose quotas this proxy owns.
 
     ``part`` is always the part of all proxies that this one sees. Times are
@@ -181,15 +181,15 @@
         part: float,
         patience: float,
         now: float,
-        stands_in: bool = False,
+        is_fallback: bool = False,
     ) -> Grant:
         """Grant an operation that can wait for ``patience`` seconds.
 
-        ``stands_in`` means that this proxy sees the tenant's usual owner
+        ``is_fallback`` means that this proxy sees the tenant's usual owner
         alive, so that the usual owner may be granting at the same time.
         """
         bucket = self._bucket(tenant, part, now)
-        if stands_in:
+        if is_fallback:
             bucket.act_as_fallback(now)
         else:
             bucket.act_as_owner()
@@ -208,7 +208,7 @@
         is too old, or if its tenant has no bucket here.
         """
         bucket = self._buckets.get(name)
-        if bucket is None or now - at > BACK_WITHIN:
+        if bucket is None or now - at > GRANT_RETURN_PERIOD_S:
             return False
         bucket.refill(now)
         bucket.level = min(bucket.level + 1, bucket.capacity)
@@ -229,7 +229,7 @@
         for bucket in self._buckets.values():
             bucket.refilled_at += seconds
 
-    def keep_only(self, names: frozenset[str]) -> None:
+    def retain_only(self, names: frozenset[str]) -> None:
         """Drop the buckets of tenants whose quotas other proxies own."""
         for name in self._buckets.keys() - names:
             del self._buckets[name]
@@ -263,11 +263,13 @@
     def _new_bucket(
         self, tenant: tenants.Tenant, part: float, now: float
     ) -> Bucket:
-        new_part, new_for = NEW_OWNER_PART, NEW_FOR
-        if now - self._started_at < NEW_FOR:
-            new_part, new_for = NEW_PROCESS_PART, NEW_PROCESS_PERIOD_S
-        level = min(START_GRANTS, tenant.burst)
-        return Bucket(tenant, part, level, now, new_part, now + new_for)
+        reduced_part, reduced_for = NEW_OWNER_PART, NEW_OWNER_PERIOD_S
+        if now - self._started_at < NEW_OWNER_PERIOD_S:
+            reduced_part, reduced_for = NEW_PROCESS_PART, NEW_PROCESS_PERIOD_S
+        level = min(INITIAL_GRANTS, tenant.burst)
+        return Bucket(
+            tenant, part, level, now, reduced_part, now + reduced_for
+        )
 
     @staticmethod
     def _wait(bucket: Bucket, now: float) -> float:
@@ -280,7 +282,7 @@
         return (1 - bucket.level) / rate
 
 
-def keepers_of(
+def quota_owners(
     tenant: str, proxies: Mapping[str, str], excluded: Collection[str]
 ) -> tuple[str, ...]:
     """Return the proxies to ask for a grant, the usual owner first.
@@ -290,19 +292,19 @@
     answer may be partitioned together with its whole domain.
     """
     found: dict[str, str] = {}
-    order = _turns.first_ones(_hash_key(tenant), proxies, len(proxies))
+    order = _rendezvous.top_ranked(_hash_key(tenant), proxies, len(proxies))
     for proxy in order:
         if proxy not in excluded:
             found.setdefault(proxies[proxy], proxy)
     return tuple(found.values())[:MAX_CANDIDATES]
 
 
-def keeps(tenant: str, own: str, proxies: Collection[str]) -> bool:
+def owns_quota(tenant: str, own: str, proxies: Collection[str]) -> bool:
     """Return whether proxy ``own`` is the usual owner of a quota."""
-    return _turns.first_in_turn(_hash_key(tenant), proxies) == own
+    return _rendezvous.highest_ranked(_hash_key(tenant), proxies) == own
 
 
-def part_seen(seen: int, known: int, starting: int = 0) -> float:
+def visible_part(seen: int, known: int, starting: int = 0) -> float:
     """Return the part of all ``known`` proxies that this one sees.
 
     ``known`` includes proxies that have not been heard from for long: if
--- a/src/tidegrade/core/_reads.py
+++ b/src/tidegrade/core/_reads.py
@@ -222,11 +222,11 @@
         One is enough for a tenant, since each takes room from another's.
         """
         state = self._state
-        pressed = self._registry.is_pressed(pending, now)
+        grow = self._registry.should_grow(pending, now)
         tenant = state.tenant_of(pending.req)
         replicas = sorted(self._replicas(tenant, now), key=_routing.cost_of)
         for replica in replicas:
-            comes = state.open_if_allowed(replica.name, tenant, now, pressed)
+            comes = state.open_if_allowed(replica.name, tenant, now, grow)
             if comes and tenant:
                 return
 
@@ -258,8 +258,8 @@
         if conn is None:
             if self._state.pool.in_use(row.primary):
                 pending.waiting_for = _types.Code.OVERLOADED
-            pressed = self._registry.is_pressed(pending, now)
-            self._state.open_if_allowed(row.primary, tenant, now, pressed)
+            grow = self._registry.should_grow(pending, now)
+            self._state.open_if_allowed(row.primary, tenant, now, grow)
             return Placement.PRIMARY
         return self._send(pending, row.primary, need, now)
 
--- a/src/tidegrade/core/_registry.py
+++ b/src/tidegrade/core/_registry.py
@@ -147,9 +147,9 @@
             return NO_PRIMARY_RETRY
         return self.service.retry_after(ahead, self.width())
 
-    def is_pressed(self, pending: _pending.Pending, now: float) -> bool:
+    def should_grow(self, pending: _pending.Pending, now: float) -> bool:
         """Tell whether a request has waited long enough for more width."""
-        return _shares.is_pressed(
+        return _shares.should_grow(
             waited=now - pending.arrived,
             service=self.service.mean,
             age=now - self._state.outlook.began_at,
@@ -158,4 +158,4 @@
     def width(self) -> int:
         """Give the number of connections that serve this group."""
         names = self._state.cfg.endpoints
-        return sum(self._state.pool.share(name).most for name in names)
+        return sum(self._state.pool.share(name).limit for name in names)
--- a/src/tidegrade/core/_turns.py
+++ b/src/tidegrade/core/_rendezvous.py
@@ -23,7 +23,7 @@
     return sum(weight(work, other) > own_weight for other in others)
 
 
-def first_in_turn(work: str, proxies: Iterable[str]) -> str:
+def highest_ranked(work: str, proxies: Iterable[str]) -> str:
     """Return the proxy of rank 0.
 
     Raises ValueError if there are no proxies.
@@ -31,7 +31,7 @@
     return max(proxies, key=lambda proxy: weight(work, proxy))
 
 
-def first_ones(
+def top_ranked(
     work: str, proxies: Collection[str], count: int
 ) -> tuple[str, ...]:
     """Return the first ``count`` proxies in the order of their rank."""
--- a/src/tidegrade/core/_shares.py
+++ b/src/tidegrade/core/_shares.py
@@ -45,22 +45,20 @@
 
     The proxy opens up to ``usual`` connections on demand, or up to
     ``usual_by_tenant`` where each connection belongs to a tenant; it opens
-    up to ``most`` only for requests that have waited.
+    up to ``limit`` only for requests that have waited.
     """
 
     usual: int = 0
-    most: int = 0
+    limit: int = 0
     usual_by_tenant: int = 0
 
     def usual_limit(self, has_tenants: bool) -> int:
         """Return the number of connections opened before requests wait."""
         return self.usual_by_tenant if has_tenants else self.usual
 
-    def allows(
-        self, held: int, pressed: bool, has_tenants: bool = False
-    ) -> bool:
+    def allows(self, held: int, grow: bool, has_tenants: bool = False) -> bool:
         """Return whether one more than ``held`` may be opened."""
-        return held < (self.most if pressed else self.usual_limit(has_tenants))
+        return held < (self.limit if grow else self.usual_limit(has_tenants))
 
 
 def shares_of(cfg: config.Group, max_proxies: int) -> dict[str, Share]:
@@ -79,7 +77,7 @@
     }
 
 
-def is_pressed(waited: float, service: float, age: float) -> bool:
+def should_grow(waited: float, service: float, age: float) -> bool:
     """Return whether a request's wait justifies another connection.
 
     Within the time of one statement a connection in use should have become
@@ -93,7 +91,7 @@
 
 
 def _share(total: int, proxies: int) -> Share:
-    most = max(1, total // proxies)
+    limit = max(1, total // proxies)
     usual = max(1, int(total * USUAL_SHARED_PART) // proxies)
     usual_by_tenant = max(1, int(total * TENANT_SHARED_PART) // proxies)
-    return Share(usual=usual, most=most, usual_by_tenant=usual_by_tenant)
+    return Share(usual=usual, limit=limit, usual_by_tenant=usual_by_tenant)
--- a/src/tidegrade/core/_state.py
+++ b/src/tidegrade/core/_state.py
@@ -198,7 +198,7 @@
         name: str,
         tenant: str | None,
         now: float,
-        pressed: bool = False,
+        grow: bool = False,
     ) -> bool:
         """Have a connection come, if one may be had; tell if one comes.
 
@@ -214,7 +214,7 @@
             return True
         if self._makes_room(name, tenant):
             return True
-        if self.pool.may_open(name, now, pressed, bool(tenant)):
+        if self.pool.may_open(name, now, grow, bool(tenant)):
             self.open(name, tenant, now)
             return True
         return False
@@ -240,7 +240,7 @@
         """Have another tenant's connection end; tell if one does."""
         if self.pool.closing(name):
             return True
-        victim = self.pool.least_used(name, tenant)
+        victim = self.pool.longest_idle(name, tenant)
         if victim is None:
             return False
         self.close(victim)
--- a/src/tidegrade/core/_txns.py
+++ b/src/tidegrade/core/_txns.py
@@ -135,7 +135,7 @@
         row = self._state.row
         if row is None:
             return True
-        share = self._state.pool.share(row.primary).most
+        share = self._state.pool.share(row.primary).limit
         return len(self._open) < max(1, share - 1)
 
     def _open_on(
--- a/src/tidegrade/core/_watching.py
+++ b/src/tidegrade/core/_watching.py
@@ -3,9 +3,9 @@
 from tidegrade.core import _detector
 from tidegrade.core import _membership
 from tidegrade.core import _permission
+from tidegrade.core import _rendezvous
 from tidegrade.core import _row
 from tidegrade.core import _supervision as sv
-from tidegrade.core import _turns
 
 #: Pause between the turns of proxies to supervise, in seconds.
 TURN = 0.25
@@ -76,7 +76,7 @@
             return ''
         if self._wanted_since is None:
             self._wanted_since = now
-        turn = _turns.rank(self._group, self._proxy, seen.peers)
+        turn = _rendezvous.rank(self._group, self._proxy, seen.peers)
         if now < self._wanted_since + turn * TURN:
             return ''
         return reason
--- a/src/tidegrade/core/_writes.py
+++ b/src/tidegrade/core/_writes.py
@@ -75,8 +75,8 @@
         if conn is None:
             if state.pool.in_use(state.row.primary):
                 pending.waiting_for = _types.Code.OVERLOADED
-            pressed = self._registry.is_pressed(pending, now)
-            state.open_if_allowed(state.row.primary, tenant, now, pressed)
+            grow = self._registry.should_grow(pending, now)
+            state.open_if_allowed(state.row.primary, tenant, now, grow)
             return None
         pending.sent_to = pending.last_sent_to = state.row.primary
         pending.tries += 1
--- a/src/tidegrade/daemon/_peers_task.py
+++ b/src/tidegrade/daemon/_peers_task.py
@@ -128,7 +128,7 @@
         This proxy must be one of those that serve the group.
         """
         proxies = [self._deps.proxy_id, *self.serving_ids(key)]
-        return core.first_in_turn(str(key), proxies)
+        return core.highest_ranked(str(key), proxies)
 
     def candidates(self) -> dict[str, set[str]]:
         """Give the other proxies that may take over work, by domain.
--- a/src/tidegrade/daemon/_quotas.py
+++ b/src/tidegrade/daemon/_quotas.py
@@ -53,7 +53,7 @@
         self._named = named
         self._cut_off = cut_off
         self._draining = draining
-        self._keeper = core.QuotaKeeper(clock.now())
+        self._keeper = core.QuotaOwner(clock.now())
         self._domains: dict[str, str] = {}
         self._failed_at: dict[str, float] = {}
         self._next_report = float('-inf')
@@ -87,7 +87,7 @@
                 level=round(bucket.level, 1),
                 part=round(bucket.part, 2),
                 rate=bucket.tenant.rate,
-                new=now < bucket.new_until,
+                new=now < bucket.reduced_until,
             )
 
     # Operations that start here -------------------------------------------
@@ -113,10 +113,10 @@
     def give_back(self, name: str, admission: core.Admission) -> None:
         """Give back a grant whose operation reached no endpoint."""
         back = messages.QuotaBack(name, admission.at)
-        if admission.keeper == self._spot.proxy:
+        if admission.owner == self._spot.proxy:
             self.given_back(back)
         else:
-            self._peers.tell(admission.keeper, back)
+            self._peers.tell(admission.owner, back)
 
     async def _ask(
         self,
@@ -158,7 +158,7 @@
             for proxy, at in self._failed_at.items()
             if self._is_avoided(proxy, at)
         }
-        return core.keepers_of(name, near or proxies, failed)
+        return core.quota_owners(name, near or proxies, failed)
 
     def _is_avoided(self, proxy: str, failed_at: float) -> bool:
         if self._clock.now() - failed_at < AVOIDED_FOR:
@@ -190,7 +190,7 @@
             self._part(instead_of),
             patience,
             self._clock.now(),
-            stands_in=not core.keeps(
+            is_fallback=not core.owns_quota(
                 tenant.name, self._spot.proxy, self._domains
             ),
         )
@@ -211,7 +211,7 @@
             self._failed_at = {
                 p: at for p, at in self._failed_at.items() if p in domains
             }
-            self._keeper.keep_only(self._kept())
+            self._keeper.retain_only(self._kept())
         self._keeper.observe(self._part(''), self._clock.now())
 
     def _kept(self) -> frozenset[str]:
@@ -219,7 +219,7 @@
         return frozenset(
             name
             for name in self._keeper
-            if core.keeps(name, self._spot.proxy, self._domains)
+            if core.owns_quota(name, self._spot.proxy, self._domains)
         )
 
     def _part(self, instead_of: str) -> float:
@@ -233,7 +233,7 @@
         )
         starting = self._counted(self._peers.starting_domains(), instead_of)
         known = 1 + self._peers.named_count()
-        return core.part_seen(1 + seen, known, starting)
+        return core.visible_part(1 + seen, known, starting)
 
     def _counted(self, domains: Iterable[str], instead_of: str) -> int:
         """Count the proxies that may speak for a part of the limit."""
--- a/src/tidegrade/daemon/_spread.py
+++ b/src/tidegrade/daemon/_spread.py
@@ -423,7 +423,7 @@
         proxies = candidates.get(domain, set())
         if domain == self._spot.domain:
             proxies = proxies | {self._spot.proxy}
-        return core.first_ones(f'relay {domain}', proxies, RELAYS)
+        return core.top_ranked(f'relay {domain}', proxies, RELAYS)
 
 
 @attrs.define
--- a/src/tidegrade/session_proxy/_platform_watch.py
+++ b/src/tidegrade/session_proxy/_platform_watch.py
@@ -70,7 +70,7 @@
     def watchers(self) -> list[str]:
         """Give the other proxies that watch, the first in turn first."""
         seeing = [p.beat.proxy for p in self._peers.alive() if _sees(p)]
-        return list(core.first_ones(WATCHED, seeing, WATCHERS))
+        return list(core.top_ranked(WATCHED, seeing, WATCHERS))
 
     def adopted(self) -> None:
         """Tell the others at once that there is a configuration.
@@ -100,11 +100,11 @@
         """Take in what the platform and the others showed."""
         seen = self._directory.seen
         if seen is not None:
-            self._age.told(seen.version, now - seen.age, now)
+            self._age.note_newest(seen.version, now - seen.age, now)
         for peer in self._peers.alive():
             at = peer.config_seen_at
             if at > float('-inf'):
-                self._age.told(peer.beat.config_version, at, now)
+                self._age.note_newest(peer.beat.config_version, at, now)
         self._age.adopted(self._version())
 
     def _check_age(self) -> None:
@@ -116,7 +116,7 @@
         now = self._clock.now()
         self._note_ages(now)
         early = not self.blind and self.turn < 2 * WATCHERS
-        if not self._age.must_read(early, now):
+        if not self._age.should_read(early, now):
             return
         age = self._age.age(now)
         logs.write(
--- a/src/tidegrade/sessions/_operations.py
+++ b/src/tidegrade/sessions/_operations.py
@@ -117,9 +117,9 @@
 def _over_quota(admission: core.Admission) -> core.Answer:
     """Refuse an operation, and say when the next one would be granted."""
     detail = "no keeper of the tenant's quota answered"
-    if admission.keeper:
+    if admission.owner:
         detail = (
-            f'the tenant is over its quota, by {admission.keeper}, which '
+            f'the tenant is over its quota, by {admission.owner}, which '
             f'sees {admission.part:.0%} of the proxies'
         )
     return core.Answer(
--- a/tests/core/test_homes.py
+++ b/tests/core/test_homes.py
@@ -35,7 +35,7 @@
 
 
 @given(sizes, limits)
-def test_all_proxies_agree_and_keep_to_the_cap(counts, limit):
+def test_all_proxies_agree_and_respect_max_connections(counts, limit):
     cfg = group(limit)
     proxies = proxies_of(counts)
     parts = [
@@ -60,7 +60,7 @@
 
 
 @given(sizes, limits)
-def test_the_loss_of_a_proxy_moves_only_its_own_part(counts, limit):
+def test_the_loss_of_a_proxy_moves_only_its_own_role(counts, limit):
     cfg = group(limit)
     before = proxies_of(counts)
     after = {domain: set(found) for domain, found in before.items()}
@@ -76,7 +76,7 @@
 # Tenants ------------------------------------------------------------------
 
 
-def test_a_tenant_has_one_home_of_a_group_wherever_it_calls():
+def test_all_proxies_choose_the_same_home_for_a_tenant():
     homes = [f'vm-{n}.r' for n in range(6)]
     for tenant in map(str, range(40)):
         chosen = core.home_of_tenant('g', tenant, homes)
@@ -94,7 +94,7 @@
     assert max(counts) <= 3 * 78 / 6
 
 
-def test_fewer_proxies_keep_connections_that_belong_to_tenants():
+def test_fewer_homes_where_connections_belong_to_tenants():
     cfg = group(29)
     proxies = proxies_of([24, 24, 23])
     first = sorted(proxies['d0'])[0]
--- a/tests/core/test_quota.py
+++ b/tests/core/test_quota.py
@@ -15,8 +15,8 @@
 
 
 @pytest.fixture
-def owner() -> core.QuotaKeeper:
-    return core.QuotaKeeper()
+def owner() -> core.QuotaOwner:
+    return core.QuotaOwner()
 
 
 def flood(owner, seconds, start=0.0, part=1.0, patience=0.0, limits=None):
@@ -47,9 +47,9 @@
     assert len(after_idle) >= 6 * RATE + BURST - 1
 
 
-def test_waiting_changes_nothing_about_the_rate(owner):
+def test_grants_with_a_wait_do_not_exceed_the_rate(owner):
     times = flood(owner, 10.0, patience=0.1)
-    assert most_within(times, 5.0) <= 5 * RATE + core.START_GRANTS + 1
+    assert most_within(times, 5.0) <= 5 * RATE + core.INITIAL_GRANTS + 1
 
 
 def test_below_its_limit_a_tenant_is_never_refused(owner):
@@ -60,21 +60,21 @@
         assert owner.grant(tenant(), 1.0, 0.05, now).granted
 
 
-def test_a_new_keeper_grants_little_at_first(owner):
+def test_a_new_owner_starts_at_a_reduced_rate(owner):
     """The previous owner grants on until it has detected a partition."""
     times = flood(owner, 2.6)
-    assert len(times) <= 2.6 * 0.2 * RATE + core.START_GRANTS + 1
+    assert len(times) <= 2.6 * 0.2 * RATE + core.INITIAL_GRANTS + 1
     assert len(flood(owner, 2.0, start=2.6)) >= 2.0 * RATE - 2
 
 
-def test_a_process_that_has_just_started_grants_more_at_first():
-    owner = core.QuotaKeeper(started_at=0.0)
+def test_an_owner_in_a_new_process_starts_at_a_higher_rate():
+    owner = core.QuotaOwner(started_at=0.0)
     times = flood(owner, 1.4, start=0.5)
     assert len(times) >= 0.4 * RATE * 1.4 - 1
-    assert len(times) <= 0.4 * RATE * 1.4 + core.START_GRANTS + 1
+    assert len(times) <= 0.4 * RATE * 1.4 + core.INITIAL_GRANTS + 1
 
 
-def test_a_refusal_says_when_the_next_is_granted(owner):
+def test_a_refusal_states_when_a_retry_is_granted(owner):
     refused = None
     now = 0.0
     while refused is None:
@@ -84,42 +84,42 @@
     assert owner.grant(tenant(), 1.0, 0.0, now + refused.wait).granted
 
 
-def test_a_new_keeper_has_next_to_nothing_saved_up(owner):
-    assert len(flood(owner, 0.01)) <= core.START_GRANTS
+def test_a_new_owner_starts_with_a_nearly_empty_bucket(owner):
+    assert len(flood(owner, 0.01)) <= core.INITIAL_GRANTS
 
 
-def test_a_lower_limit_holds_for_what_was_saved_up(owner):
+def test_a_lower_limit_applies_to_accrued_operations(owner):
     flood(owner, 0.1)
     owner.observe(1.0, 20.0)
     lower = tenant(rate=5, burst=5)
     assert len(flood(owner, 1.0, start=20.0, limits=lower)) <= 5 + 5 + 1
 
 
-def test_who_sees_a_part_of_the_proxies_grants_that_part(owner):
+def test_an_owner_grants_the_part_of_the_proxies_that_it_sees(owner):
     flood(owner, 0.1)
     owner.observe(0.5, 20.0)
     times = flood(owner, 5.0, start=20.0, part=0.5)
     assert len(times) <= 0.5 * (5 * RATE + BURST) + 1
 
 
-def test_nothing_is_earned_while_the_process_stands_still(owner):
+def test_nothing_accrues_while_the_process_is_frozen(owner):
     flood(owner, 1.0)
     owner.paused(4.0)
     assert len(flood(owner, 0.01, start=5.0)) <= 1
 
 
-def test_what_was_not_used_is_given_back(owner):
+def test_an_unused_grant_can_be_returned(owner):
     flood(owner, 0.09)
     assert not owner.grant(tenant(), 1.0, 0.0, 0.09).granted
     assert owner.give_back('acme', 0.08, 0.09)
     assert owner.grant(tenant(), 1.0, 0.0, 0.09).granted
 
 
-def test_what_comes_back_late_is_lost(owner):
+def test_a_grant_that_is_returned_late_is_lost(owner):
     """It would be granted twice within the window of its first issue."""
     flood(owner, 0.09)
     level = owner.level_of('acme')
-    late = 0.08 + core.BACK_WITHIN + 0.001
+    late = 0.08 + core.GRANT_RETURN_PERIOD_S + 0.001
     assert not owner.give_back('acme', 0.08, late)
     assert owner.level_of('acme') == level
 
@@ -128,23 +128,23 @@
     flood(owner, 0.1)
     for _ in range(4):
         grant = owner.grant(tenant(), 1.0, 10.0, 0.1)
-    assert grant.wait > core.BACK_WITHIN
+    assert grant.wait > core.GRANT_RETURN_PERIOD_S
     assert owner.give_back('acme', grant.at, 0.1 + grant.wait)
 
 
-def test_another_s_tenants_are_forgotten(owner):
+def test_buckets_of_other_owners_tenants_are_dropped(owner):
     flood(owner, 0.1)
-    owner.keep_only(frozenset())
+    owner.retain_only(frozenset())
     assert owner.level_of('acme') is None
 
 
-def test_who_is_asked_next_is_of_another_domain():
+def test_each_further_candidate_is_in_another_domain():
     proxies = {f'{zone}{n}.r': zone for zone in 'abc' for n in range(20)}
-    candidates = core.keepers_of('acme', proxies, ())
+    candidates = core.quota_owners('acme', proxies, ())
     assert len(candidates) == 3
     assert {proxies[proxy] for proxy in candidates} == set('abc')
-    assert core.keeps('acme', candidates[0], proxies)
-    again = core.keepers_of('acme', proxies, {candidates[0]})
+    assert core.owns_quota('acme', candidates[0], proxies)
+    again = core.quota_owners('acme', proxies, {candidates[0]})
     assert candidates[0] not in again
 
 
@@ -168,7 +168,7 @@
     return ran
 
 
-def test_grants_that_come_back_late_raise_no_window(owner):
+def test_grants_that_are_returned_late_exceed_no_window(owner):
     """Guards against granting again what was returned after seconds.
 
     Operations granted again would run in the same window as the operations
@@ -177,35 +177,35 @@
     assert most_within(run_with_returns(owner), 1.0) <= RATE + BURST + 1
 
 
-def test_without_a_limit_of_age_they_would(owner, monkeypatch):
-    monkeypatch.setattr(_quota, 'BACK_WITHIN', float('inf'))
+def test_without_an_age_limit_late_returns_exceed_a_window(owner, monkeypatch):
+    monkeypatch.setattr(_quota, 'GRANT_RETURN_PERIOD_S', float('inf'))
     assert most_within(run_with_returns(owner), 1.0) > RATE + BURST + 1
 
 
-def test_who_stands_in_saves_nothing_up(owner):
+def test_a_fallback_owner_accrues_no_burst(owner):
     """Otherwise the usual owner and the fallback owner grant a burst each."""
-    owner.grant(tenant(), 1.0, 0.0, 0.0, stands_in=True)
+    owner.grant(tenant(), 1.0, 0.0, 0.0, is_fallback=True)
     granted = sum(
-        owner.grant(tenant(), 1.0, 0.0, 4.0, stands_in=True).granted
+        owner.grant(tenant(), 1.0, 0.0, 4.0, is_fallback=True).granted
         for _ in range(100)
     )
-    assert granted <= core.START_GRANTS
+    assert granted <= core.INITIAL_GRANTS
 
 
-def test_who_stands_in_for_long_grants_next_to_nothing(owner):
+def test_a_long_fallback_grants_a_small_part(owner):
     """The usual owner grants the full limit to the proxies that reach it."""
     for step in range(100):
-        owner.grant(tenant(), 1.0, 0.0, step / 10, stands_in=True)
+        owner.grant(tenant(), 1.0, 0.0, step / 10, is_fallback=True)
     granted = sum(
-        owner.grant(tenant(), 1.0, 0.0, 10 + n / 10, stands_in=True).granted
+        owner.grant(tenant(), 1.0, 0.0, 10 + n / 10, is_fallback=True).granted
         for n in range(100)
     )
     assert (
-        granted <= 10 * RATE * _quota.FALLBACK_OWNER_PART + core.START_GRANTS
+        granted <= 10 * RATE * _quota.FALLBACK_OWNER_PART + core.INITIAL_GRANTS
     )
 
 
-def test_who_becomes_the_keeper_grants_the_whole(owner):
-    owner.grant(tenant(), 1.0, 0.0, 0.0, stands_in=True)
-    start = _quota.NEW_FOR + 0.1
+def test_a_fallback_that_becomes_the_owner_grants_the_full_rate(owner):
+    owner.grant(tenant(), 1.0, 0.0, 0.0, is_fallback=True)
+    start = _quota.NEW_OWNER_PERIOD_S + 0.1
     assert len(flood(owner, 2.0, start=start)) >= 2 * RATE - 1
--- a/tests/core/test_shares.py
+++ b/tests/core/test_shares.py
@@ -41,7 +41,7 @@
         machine.tick(0.05)
 
 
-def test_all_proxies_find_room_beside_their_own_dead_connections():
+def test_all_restarted_proxies_can_connect_beside_dead_connections():
     """Guards against a full endpoint after a power loss of all VMs.
 
     The endpoint still counts the connections from before the power loss.
@@ -53,12 +53,12 @@
     assert MAX_CONNECTIONS - PROXIES * share.usual >= PROXIES
 
 
-def test_a_proxy_that_has_just_begun_keeps_to_the_usual_number(proxy):
+def test_a_proxy_that_has_just_started_holds_the_usual_number(proxy):
     hang_primary(proxy, 0.12, 0.02)
     assert proxy.core.conn_count('a') == 1
 
 
-def test_a_proxy_that_has_just_begun_leaves_a_silent_connection(proxy):
+def test_a_proxy_that_has_just_started_opens_a_second_connection(proxy):
     """Guards against the replacement of a healthy primary.
 
     It happened under load, after all connections to it had gone silent.
@@ -67,13 +67,13 @@
     assert proxy.core.conn_count('a') == 2
 
 
-def test_requests_that_wait_get_another_connection(proxy):
+def test_requests_that_wait_open_another_connection(proxy):
     wait(proxy, _shares.DEAD_CONNECTION_COUNTED_S)
     hang_primary(proxy, 0.3, 0.05)
     assert proxy.core.conn_count('a') == MAX_CONNECTIONS // PROXIES
 
 
-def test_a_connection_beyond_the_usual_is_given_back(proxy):
+def test_a_connection_above_the_usual_number_is_closed(proxy):
     wait(proxy, _shares.DEAD_CONNECTION_COUNTED_S)
     hang_primary(proxy, 0.3, 0.05)
     proxy.frozen = set()
--- a/tests/core/test_silent_connections.py
+++ b/tests/core/test_silent_connections.py
@@ -57,7 +57,7 @@
         assert shared.core.may_acknowledge(shared.now)
 
 
-def test_one_that_asks_for_itself_only_does_not_find_it_down(shared):
+def test_a_proxy_that_polls_for_itself_only_does_not_find_it_down(shared):
     """Its last answers are from long before its connections go silent."""
     shared.tell(core.PollsForPeers(False))
     advance(shared, 0.5)
@@ -65,13 +65,13 @@
     assert not advance(shared, 3.0)
 
 
-def test_an_older_proxy_does_not_find_it_down(shared):
+def test_a_long_running_proxy_does_not_find_it_down(shared):
     advance(shared, _shares.DEAD_CONNECTION_COUNTED_S)
     shared.go_silent()
     assert not advance(shared, 3.0)
 
 
-def test_a_silent_connection_costs_two_polls_more(shared):
+def test_a_silent_connection_costs_two_more_polls(shared):
     """The hung poll and its repetition, besides one poll every 0.35 s."""
     shared.go_silent()
     before = len(shared.jobs)
@@ -80,7 +80,7 @@
     assert asked.count('a') <= 2 + 2
 
 
-def test_an_endpoint_that_answers_elsewhere_is_not_blamed(shared):
+def test_an_endpoint_that_answers_on_a_new_connection_is_reachable(shared):
     """Otherwise no change of primary could start for 1.5 s afterwards."""
     shared.go_silent()
     for _ in range(40):
@@ -105,7 +105,7 @@
 
 
 @pytest.mark.parametrize('kind', ['read', 'write'])
-def test_a_statement_on_a_silent_connection_is_no_verdict(growable, kind):
+def test_a_statement_on_a_silent_connection_does_not_mean_down(growable, kind):
     """A hung statement occupied the only connection, so no poll was sent."""
     growable.go_silent()
     if kind == 'read':
@@ -115,19 +115,19 @@
     assert not advance(growable, 4.0)
 
 
-def test_connections_that_go_silent_again_and_again(shared):
+def test_connections_that_go_silent_repeatedly(shared):
     for _ in range(5):
         shared.go_silent()
         assert not advance(shared, 0.5)
 
 
-def test_a_primary_that_answers_on_no_connection_is_down_as_soon(shared):
+def test_a_primary_that_answers_on_no_connection_is_down_in_time(shared):
     """The limit is 0.6 s of silence; a poll may just have been answered."""
     shared.frozen = {'a'}
     assert advance(shared, 0.6 + 0.35 + 0.1)
 
 
-def test_a_silent_endpoint_gets_few_connections(shared):
+def test_a_silent_endpoint_gets_at_most_one_more_connection(shared):
     """The number does not grow with the duration of the silence."""
     shared.frozen = set(machines.NAMES)
     before = len(shared.endpoint_of)
--- a/tests/core/test_tenant_connections.py
+++ b/tests/core/test_tenant_connections.py
@@ -33,7 +33,7 @@
     return machine.answers[number]
 
 
-def test_a_tenant_s_next_request_takes_its_connection(machine):
+def test_a_tenant_s_next_request_reuses_its_connection(machine):
     run(machine, 1, 'acme')
     opened = len(machine.endpoint_of)
     run(machine, 2, 'acme')
@@ -56,7 +56,7 @@
         assert machine.core.conn_count('a') <= 4
 
 
-def test_the_connection_that_rested_longest_makes_room(machine):
+def test_the_longest_idle_connection_is_evicted(machine):
     for number, tenant in enumerate(('t1', 't2', 't1', 't3', 't1', 't4')):
         run(machine, number, tenant)
     opened = len(machine.endpoint_of)
@@ -64,7 +64,7 @@
     assert len(machine.endpoint_of) == opened
 
 
-def test_a_connection_in_a_transaction_makes_no_room(machine):
+def test_a_connection_in_a_transaction_is_not_evicted(machine):
     for number in range(3):
         assert run(machine, number, 't1', kind=core.Kind.BEGIN).txn
     for number in range(3, 9):
@@ -72,7 +72,7 @@
     assert machine.core.transactions == 3
 
 
-def test_statements_of_the_proxy_s_own_open_nobody_s_connection(machine):
+def test_the_proxy_s_own_statements_open_no_tenant_s_connection(machine):
     for _ in range(40):
         machine.tick(0.1)
     assert set(machine.tenant_of.values()) == {''}
@@ -84,12 +84,12 @@
         conn.tenant = 'acme'
     req = core.Request(9, 'bold', core.Kind.READ, machine.now + 1)
     pool = machine.core._state.pool
-    conn = pool.idle_any('a')
+    conn = pool.any_idle('a')
     with pytest.raises(core.InvariantBroken):
         setup.setup_for(conn, req, ())
 
 
-def test_an_order_to_an_endpoint_that_no_list_names_ends_late(machine):
+def test_an_order_to_an_unlisted_endpoint_times_out(machine):
     """Guards against a KeyError that ended the process.
 
     A supervisor's order names an endpoint that another proxy has replaced.
@@ -102,7 +102,7 @@
     assert [c.outcome.failure for c in ended] == [core.Failure.TIMEOUT]
 
 
-def test_more_connections_are_kept_where_they_belong_to_tenants():
+def test_more_connections_are_held_where_they_belong_to_tenants():
     """Ten tenants take turns.
 
     If only half of the endpoint's connections were held, each request would
--- a/tests/edge/test_edge_quotas.py
+++ b/tests/edge/test_edge_quotas.py
@@ -12,7 +12,7 @@
 RATE = 20.0
 #: Time after which a keeper grants the whole limit, in seconds, and a burst
 #: is saved up.
-NEW_FOR = 4.0
+NEW_OWNER_PERIOD_S = 4.0
 #: Sessions that flood one proxy: more than may wait for their turn.
 SESSIONS = 6
 
@@ -40,7 +40,7 @@
     client = await site.client(0, name='s', key=KEY)
     await client.ask('READ x')
     await client.close()
-    await anyio.sleep(NEW_FOR)
+    await anyio.sleep(NEW_OWNER_PERIOD_S)
     return site
 
 
--- a/tests/proofs/test_quota_model.py
+++ b/tests/proofs/test_quota_model.py
@@ -154,14 +154,14 @@
     """The policy of tidegrade: one proxy owns the tenant's quota."""
 
     def __init__(self) -> None:
-        self._owners = {p: core.QuotaKeeper() for p in PROXIES}
+        self._owners = {p: core.QuotaOwner() for p in PROXIES}
         self._now = 0.0
         self._seen: dict[str, set[str]] = {}
 
     def admit(self, receiver: str, model: Model) -> bool:
         name = model.tenant.name
         instead_of = ''
-        for owner in core.keepers_of(name, model.candidates(receiver), ()):
+        for owner in core.quota_owners(name, model.candidates(receiver), ()):
             if owner == receiver or model.reaches(receiver, owner):
                 return self._grant(owner, instead_of, model)
             instead_of = instead_of or PROXIES[owner]
@@ -175,7 +175,7 @@
             part,
             0.0,
             model.now,
-            stands_in=not core.keeps(name, owner, model.seen(owner)),
+            is_fallback=not core.owns_quota(name, owner, model.seen(owner)),
         )
         return grant.granted
 
@@ -184,7 +184,7 @@
         starting = model.seen(owner).keys() - heard.keys()
         count = sum(zone != instead_of for zone in heard.values())
         new = sum(PROXIES[proxy] != instead_of for proxy in starting)
-        return core.part_seen(count, len(PROXIES), new)
+        return core.visible_part(count, len(PROXIES), new)
 
     def update(self, model: Model) -> None:
         self._now = model.now
@@ -192,14 +192,14 @@
             seen = model.seen(proxy)
             if self._seen.get(proxy) != set(seen):
                 self._seen[proxy] = set(seen)
-                kept = core.keeps(model.tenant.name, proxy, seen)
+                kept = core.owns_quota(model.tenant.name, proxy, seen)
                 names = frozenset({model.tenant.name} if kept else ())
-                owner.keep_only(names)
+                owner.retain_only(names)
             if proxy not in model.frozen:
                 owner.observe(self._part(proxy, '', model), model.now)
 
     def restarted(self, proxy: str) -> None:
-        self._owners[proxy] = core.QuotaKeeper(self._now)
+        self._owners[proxy] = core.QuotaOwner(self._now)
         self._seen.pop(proxy, None)
 
     def resumed(self, proxy: str, seconds: float) -> None:
@@ -320,11 +320,11 @@
     stateful.run_state_machine_as_test(machine, settings=HISTORIES)
 
 
-def test_no_window_holds_more_than_a_quota_bears():
+def test_no_window_exceeds_the_permitted_excess():
     run_histories(Machine)
 
 
-def test_totals_that_are_told_are_not_enough():
+def test_reported_totals_exceed_the_limit():
     with pytest.raises(AssertionError):
         run_histories(ReportedTotalsMachine)
 
@@ -341,18 +341,18 @@
 
 
 @pytest.mark.parametrize('zone', ZONES)
-def test_the_keepers_on_both_sides_of_a_cut_share_the_limit(zone):
+def test_owners_on_both_sides_of_a_cut_off_domain_share_the_limit(zone):
     cut_a_domain(OwnerPolicy(), zone)
 
 
 @pytest.mark.parametrize('policy', [FullRate, ReportedTotals])
-def test_a_cut_shows_the_fault_of_others(policy):
+def test_other_policies_exceed_the_limit_during_a_partition(policy):
     with pytest.raises(AssertionError):
         cut_a_domain(policy(), 'a')
 
 
 @pytest.mark.parametrize('asked', [1, 3])
-def test_a_restart_of_all_hands_out_nothing_twice(asked):
+def test_restarts_of_all_proxies_do_not_exceed_the_limit(asked):
     policy = OwnerPolicy()
     model = Model(policy, 60.0)
     model.advance(3.0, 0)
@@ -362,7 +362,7 @@
 
 
 @pytest.mark.parametrize('zone', ZONES)
-def test_a_restart_behind_a_cut_hands_out_no_more(zone):
+def test_a_restart_during_a_partition_does_not_exceed_the_limit(zone):
     model = Model(OwnerPolicy(), 60.0)
     model.advance(3.0, 3)
     for proxy, domain in PROXIES.items():
@@ -375,7 +375,7 @@
 
 
 @pytest.mark.parametrize('first', range(0, 9, 2))
-def test_keepers_on_both_sides_of_a_split_share_the_limit(first):
+def test_owners_on_both_sides_of_a_partition_share_the_limit(first):
     """Guards against excess grants when a third of all proxies is cut off.
 
     The proxies are from every domain. The owner granted the full limit until
@@ -394,7 +394,7 @@
 
 
 @pytest.mark.parametrize('share', [1, 2, 6])
-def test_a_keeper_that_is_doubted_in_vain_grants_beside_no_other(share):
+def test_a_wrongly_suspected_owner_and_its_fallback_share_the_limit(share):
     """Guards against operations above the quota without any real failure.
 
     Some proxies at times wrongly suspect the failure domain of the owner and
@@ -402,7 +402,7 @@
     """
     model = Model(OwnerPolicy(), 60.0)
     model.advance(8.0, 0)
-    usual, *_ = core.keepers_of('acme', PROXIES, ())
+    usual, *_ = core.quota_owners('acme', PROXIES, ())
     suspecting = [p for p in PROXIES if PROXIES[p] != PROXIES[usual]][:share]
     for asked in [0] * 20 + [1] * 20 + [3] * 20:
         model.suspected = {
--- a/tests/session_proxy/test_configuration_spreads.py
+++ b/tests/session_proxy/test_configuration_spreads.py
@@ -243,7 +243,7 @@
     for _ in range(7):
         await fleet.add('a')
     names = [proxy.name for proxy in fleet.proxies]
-    *_, last = core.first_ones(_platform_watch.WATCHED, names, len(names))
+    *_, last = core.top_ranked(_platform_watch.WATCHED, names, len(names))
     lucky = fleet.proxies[names.index(last)]
     for proxy in fleet.proxies:
         proxy.directory.fails = proxy is not lucky
--- a/tests/system/test_quotas.py
+++ b/tests/system/test_quotas.py
@@ -15,7 +15,7 @@
 RATE = 20.0
 #: Time after which a keeper grants the whole limit, in seconds, and a burst
 #: is saved up.
-NEW_FOR = 4.0
+NEW_OWNER_PERIOD_S = 4.0
 
 
 async def statement(site, url: str):
@@ -31,7 +31,7 @@
 async def settled(site) -> None:
     """Have the tenant's keeper chosen, and wait until it isn't new."""
     await statement(site, site.urls[0])
-    await anyio.sleep(NEW_FOR)
+    await anyio.sleep(NEW_OWNER_PERIOD_S)
 
 
 async def test_all_proxies_together_keep_the_limit(limited):
