--- a/src/tidegrade/core/_polls.py
+++ b/src/tidegrade/core/_polls.py
@@ -134,7 +134,7 @@
         """Poll each endpoint whose report is due."""
         lagging_replicas = self._confirmations.lagging_replicas()
         for name in self._state.cfg.endpoints:
-            if self._hung.look_after(name, now):
+            if self._hung.repeat_hung(name, now):
                 continue
             sent_at = self._last_poll_at.get(name, float('-inf'))
             if name in lagging_replicas:
@@ -168,7 +168,7 @@
         return True
 
     def _poll(self, name: str, now: float) -> None:
-        conn = self._state.pool.idle_any(name)
+        conn = self._state.pool.any_idle(name)
         if conn is None:
             self._open_connection(name, now)
             return
--- a/src/tidegrade/core/_reads.py
+++ b/src/tidegrade/core/_reads.py
@@ -224,13 +224,13 @@
         displaces a connection of another tenant.
         """
         state = self._state
-        pressed = self._registry.is_pressed(pending, now)
+        grow = self._registry.should_grow(pending, now)
         tenant = state.tenant_of(pending.req)
         replicas = sorted(
             self._replicas(tenant, now), key=_routing.preference_key
         )
         for replica in replicas:
-            opens = state.open_if_allowed(replica.name, tenant, now, pressed)
+            opens = state.open_if_allowed(replica.name, tenant, now, grow)
             if opens and tenant:
                 return
 
@@ -264,8 +264,8 @@
         if conn is None:
             if self._state.pool.in_use(row.primary):
                 pending.waiting_for = _types.Code.OVERLOADED
-            pressed = self._registry.is_pressed(pending, now)
-            self._state.open_if_allowed(row.primary, tenant, now, pressed)
+            grow = self._registry.should_grow(pending, now)
+            self._state.open_if_allowed(row.primary, tenant, now, grow)
             return Placement.PRIMARY
         return self._send(pending, row.primary, need, now)
 
--- a/src/tidegrade/core/_txns.py
+++ b/src/tidegrade/core/_txns.py
@@ -155,7 +155,7 @@
         row = self._state.row
         if row is None:
             return True
-        conns = self._state.pool.share(row.primary).most
+        conns = self._state.pool.share(row.primary).limit
         return len(self._open) < max(1, conns - 1)
 
     def _register(
--- a/src/tidegrade/core/_watching.py
+++ b/src/tidegrade/core/_watching.py
@@ -3,9 +3,9 @@
 from tidegrade.core import _detector
 from tidegrade.core import _membership
 from tidegrade.core import _permission
+from tidegrade.core import _rendezvous
 from tidegrade.core import _row
 from tidegrade.core import _supervision as sv
-from tidegrade.core import _turns
 
 #: Delay between the turns of the proxies to begin an attempt, in seconds.
 TURN_INTERVAL_S = 0.25
@@ -81,7 +81,7 @@
             return ''
         if self._reason_since is None:
             self._reason_since = now
-        turn = _turns.rank(self._group, self._proxy, seen.peers)
+        turn = _rendezvous.rank(self._group, self._proxy, seen.peers)
         if now < self._reason_since + turn * TURN_INTERVAL_S:
             return ''
         return reason
--- a/src/tidegrade/session_proxy/_platform_watch.py
+++ b/src/tidegrade/session_proxy/_platform_watch.py
@@ -73,7 +73,7 @@
         candidates = [
             p.beat.proxy for p in self._peers.alive() if _can_read_platform(p)
         ]
-        return list(core.first_ones(WATCHED, candidates, WATCHERS))
+        return list(core.top_ranked(WATCHED, candidates, WATCHERS))
 
     def announce_config(self) -> None:
         """Announce a new configuration by an immediate heartbeat.
@@ -105,11 +105,11 @@
         """Record which versions the platform and other proxies reported."""
         seen = self._directory.seen
         if seen is not None:
-            self._age.told(seen.version, now - seen.age, now)
+            self._age.note_newest(seen.version, now - seen.age, now)
         for peer in self._peers.alive():
             at = peer.config_seen_at
             if at > float('-inf'):
-                self._age.told(peer.beat.config_version, at, now)
+                self._age.note_newest(peer.beat.config_version, at, now)
         self._age.adopted(self._version())
 
     def _check_age(self) -> None:
@@ -121,7 +121,7 @@
         now = self._clock.now()
         self._record_versions(now)
         early = not self.blind and self.turn < 2 * WATCHERS
-        if not self._age.must_read(early, now):
+        if not self._age.should_read(early, now):
             return
         age = self._age.age(now)
         logs.write(
--- a/src/tidegrade/sessions/_operations.py
+++ b/src/tidegrade/sessions/_operations.py
@@ -125,9 +125,9 @@
 def _over_quota(admission: core.Admission) -> core.Answer:
     """Return the refusal of an operation over quota, with a retry time."""
     detail = "no proxy that manages the tenant's quota answered"
-    if admission.keeper:
+    if admission.owner:
         detail = (
-            f'the tenant is over its quota according to {admission.keeper}, '
+            f'the tenant is over its quota according to {admission.owner}, '
             f'which sees {admission.part:.0%} of the proxies'
         )
     return core.Answer(
--- a/tests/core/test_tenant_connections.py
+++ b/tests/core/test_tenant_connections.py
@@ -1,7 +1,7 @@
-"""Connections that belong to one tenant: who uses them, and who must go.
+"""Connections that belong to one tenant: their use and their eviction.
 
-The load pattern: many more tenants than an endpoint takes connections, and
-each connection brings one tenant's statements only.
+There are many more tenants than connections that an endpoint accepts, and
+each connection runs the statements of one tenant only.
 """
 
 import machines
@@ -23,7 +23,7 @@
 def run(
     machine: machines.Machine, number: int, tenant: str, **changes
 ) -> core.Answer:
-    """Have a tenant's read of the primary served, a little later."""
+    """Send a tenant's read of the primary; return its answer."""
     machine.tick()
     machine.read(number, tenant=tenant, max_age=0.0, **changes)
     for _ in range(20):
@@ -33,7 +33,7 @@
     return machine.answers[number]
 
 
-def test_a_tenant_s_next_request_takes_its_connection(machine):
+def test_a_tenant_s_next_request_reuses_its_connection(machine):
     run(machine, 1, 'acme')
     opened = len(machine.endpoint_of)
     run(machine, 2, 'acme')
@@ -56,7 +56,7 @@
         assert machine.core.conn_count('a') <= 4
 
 
-def test_the_connection_that_rested_longest_makes_room(machine):
+def test_the_longest_idle_connection_is_evicted(machine):
     for number, tenant in enumerate(('t1', 't2', 't1', 't3', 't1', 't4')):
         run(machine, number, tenant)
     opened = len(machine.endpoint_of)
@@ -64,7 +64,7 @@
     assert len(machine.endpoint_of) == opened
 
 
-def test_a_connection_in_a_transaction_makes_no_room(machine):
+def test_a_connection_in_a_transaction_is_not_evicted(machine):
     for number in range(3):
         assert run(machine, number, 't1', kind=core.Kind.BEGIN).txn
     for number in range(3, 9):
@@ -72,7 +72,7 @@
     assert machine.core.transactions == 3
 
 
-def test_statements_of_the_proxy_s_own_open_nobody_s_connection(machine):
+def test_the_proxy_s_own_statements_open_no_tenant_s_connection(machine):
     for _ in range(40):
         machine.tick(0.1)
     assert set(machine.tenant_of.values()) == {''}
@@ -84,16 +84,16 @@
         conn.tenant = 'acme'
     req = core.Request(9, 'bold', core.Kind.READ, machine.now + 1)
     pool = machine.core._state.pool
-    conn = pool.idle_any('a')
+    conn = pool.any_idle('a')
     with pytest.raises(core.InvariantBroken):
         setup.setup_for(conn, req, ())
 
 
-def test_an_order_to_an_endpoint_that_no_list_names_ends_late(machine):
-    """A supervisor's order named one that had been replaced elsewhere.
+def test_an_order_to_an_unlisted_endpoint_times_out(machine):
+    """Guards against a KeyError that ended the process.
 
-    The process ended by itself with KeyError as it looked up how many
-    attempts to connect that endpoint bears.
+    A supervisor's order names an endpoint that another proxy has replaced.
+    The lookup of the limit on attempts to connect to it raised the error.
     """
     order = core.ControlAsked(1, 'gone', core.StatusJob(), machine.now + 0.1)
     machine.tell(order)
@@ -102,8 +102,12 @@
     assert [c.outcome.failure for c in ended] == [core.Failure.TIMEOUT]
 
 
-def test_more_connections_are_kept_where_they_belong_to_tenants():
-    """Ten tenants in turn: with half of the cap each would open anew."""
+def test_more_connections_are_held_where_they_belong_to_tenants():
+    """Ten tenants take turns.
+
+    If only half of the endpoint's connections were held, each request would
+    open a new one.
+    """
     machine = machines.Machine(TRAITS, max_connections=12)
     for number in range(50):
         run(machine, number, f't{number % 10}')
