--- a/src/tidegrade/daemon/__init__.py
+++ b/src/tidegrade/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Tasks that every program of a proxy runs, whatever its callers speak."""
+"""Tasks that every proxy program runs, independent of client protocols."""
--- a/src/tidegrade/daemon/_conn_task.py
+++ b/src/tidegrade/daemon/_conn_task.py
@@ -1,4 +1,4 @@
-"""The task that owns one connection to an endpoint."""
+"""The task that owns a single connection to an endpoint."""
 
 from collections.abc import Callable
 import contextlib
@@ -12,10 +12,10 @@
 
 
 class ConnTask:
-    """Opens a connection, runs its jobs one by one, and closes it.
+    """Opens a connection, runs jobs on it one at a time, and closes it.
 
-    It tells its group what happens by events and is told what to do by
-    messages; nothing else touches the connection.
+    The task reports to its group by events that it passes to ``post``. The
+    group controls it by `start` and `stop`; nothing else uses the connection.
     """
 
     def __init__(
@@ -36,10 +36,12 @@
         self._conn: ports.EndpointConn | None = None
         self._closing = False
         self._scope = anyio.CancelScope()
-        self._send, self._jobs = anyio.create_memory_object_stream[core.Job](1)
+        self._job_sender, self._jobs = anyio.create_memory_object_stream[
+            core.Job
+        ](1)
 
     async def run(self) -> None:
-        """Run until the connection has ended."""
+        """Run until the connection is closed."""
         problem: ports.ConnectProblem | None = None
         with self._scope:
             opened = await self._endpoints.connect(
@@ -55,7 +57,7 @@
         if self._conn is not None:
             with anyio.CancelScope(shield=True):
                 await self._conn.close()
-        self._send.close()
+        self._job_sender.close()
         self._jobs.close()
         self._post(
             core.ConnClosed(
@@ -66,24 +68,24 @@
         )
 
     def start(self, job: core.Job) -> None:
-        """Run a job; the one before it must have ended."""
+        """Start a job; the job before it must have ended."""
         with contextlib.suppress(anyio.ClosedResourceError):
-            self._send.send_nowait(job)
+            self._job_sender.send_nowait(job)
 
     def stop(self) -> None:
-        """End the connection at once, whatever it is doing."""
+        """Close the connection at once, even during a job."""
         self._closing = True
         if self._conn is None:
             self._scope.cancel()
         else:
             self._conn.abort()
-            self._send.close()
+            self._job_sender.close()
 
     async def _serve(self, conn: ports.EndpointConn) -> None:
         async for job in self._jobs:
             outcome = await conn.run(job)
             self._post(core.JobEnded(self._id, outcome))
-            if self._closing or _ended(outcome):
+            if self._closing or _ends_connection(outcome):
                 return
 
     def _log_refused(self, problem: ports.ConnectProblem) -> None:
@@ -97,5 +99,5 @@
         )
 
 
-def _ended(outcome: core.JobOutcome) -> bool:
+def _ends_connection(outcome: core.JobOutcome) -> bool:
     return isinstance(outcome, core.JobFailed) and not outcome.usable
--- a/src/tidegrade/daemon/_deps.py
+++ b/src/tidegrade/daemon/_deps.py
@@ -1,4 +1,7 @@
-"""What the tasks of a proxy share; each owns its state nevertheless."""
+"""Dependencies and settings that the tasks of a proxy share.
+
+Each task still owns its state.
+"""
 
 import random
 
@@ -11,10 +14,11 @@
 
 @attrs.frozen
 class PeerSettings:
-    """How proxies reach each other.
+    """Settings of the connections between proxies.
 
-    ``key`` is a shared secret of 32 bytes as 64 hex digits. Heartbeats go
-    out every ``heartbeat_s``; a peer unheard for ``alive_s`` isn't alive.
+    ``key`` is a shared secret of 32 bytes, as 64 hex digits. A proxy sends a
+    heartbeat every ``heartbeat_s`` seconds. A peer whose last heartbeat is
+    more than ``alive_s`` seconds old does not count as alive.
     """
 
     host: str
@@ -26,12 +30,13 @@
 
 @attrs.frozen
 class Deps:
-    """The adapters and the identity that the tasks work with.
+    """The adapters and the identity that the tasks of a proxy use.
 
-    ``proxy_id`` names this run of the proxy; a restart gets another.
-    ``traits`` are what the endpoints that ``endpoints`` reaches can do.
-    Deadlines are kept to within ``tick_s`` seconds. A group's row is read
-    every ``row_interval_s`` seconds even if nobody asks for it.
+    ``proxy_id`` identifies one run of the proxy; a restart gets a new one.
+    ``traits`` describe the capabilities of the endpoints that ``endpoints``
+    connects to. Deadlines are met to within ``tick_s`` seconds. A proxy that
+    serves a group reads its row every ``row_interval_s`` seconds even without
+    a request.
     """
 
     proxy_id: str
@@ -44,9 +49,9 @@
     traits: core.Traits = core.POSTGRESQL
     tick_s: float = 0.02
     row_interval_s: float = 5.0
-    #: The groups' rows in ``table``.
+    #: Batched reads of the groups' rows in ``table``.
     rows: _shared_reads.SharedReads = attrs.field(init=False, repr=False)
 
     @rows.default
-    def _share_reads(self) -> _shared_reads.SharedReads:
+    def _default_rows(self) -> _shared_reads.SharedReads:
         return _shared_reads.SharedReads(self.table)
--- a/src/tidegrade/daemon/_evidence_task.py
+++ b/src/tidegrade/daemon/_evidence_task.py
@@ -1,9 +1,9 @@
-"""Asking other proxies what they saw of the groups' endpoints.
+"""Exchange of evidence on the groups' endpoints among proxies.
 
-Of each group one proxy asks the endpoints and the others ask that proxy.
-An answer tells how old each thing is; it is dated from before the question
-was sent, so neither a slow link nor a pause of this process can make it
-look newer than it is.
+For each group one proxy polls the endpoints, and the others get its evidence
+from it. An answer states the age of each item. The ages count from the time
+at which the request was sent, so neither a slow link nor a pause of this
+process can make evidence look newer than it is.
 """
 
 from collections.abc import Callable
@@ -16,15 +16,15 @@
 from tidegrade.daemon import _peers_task
 from tidegrade.peers import _messages as messages
 
-#: Pause between questions, in seconds: a permission lasts one second, and
-#: what the other proxy knows is up to its own polling interval old.
-ASK_INTERVAL = 0.3
+#: Interval between requests, in seconds: a permission lasts one second, and
+#: the other proxy's evidence may be as old as its polling interval.
+REQUEST_INTERVAL_S = 0.3
 
 Groups = Callable[[], dict[messages.GroupKey, _group_task.GroupTask]]
 
 
 class EvidenceTask:
-    """Asks and answers questions about endpoints."""
+    """Requests evidence from other proxies and answers their requests."""
 
     def __init__(
         self,
@@ -37,28 +37,28 @@
         self._groups = groups
 
     async def run(self) -> None:
-        """Ask until cancelled."""
+        """Request evidence until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
-                for proxy, keys in self._by_proxy().items():
-                    tasks.start_soon(self._ask, proxy, keys)
-                await anyio.sleep(ASK_INTERVAL)
+                for proxy, keys in self._groups_by_proxy().items():
+                    tasks.start_soon(self._request, proxy, keys)
+                await anyio.sleep(REQUEST_INTERVAL_S)
 
     def answer(
         self, question: messages.AskEvidence
     ) -> messages.EvidenceAnswer:
-        """Tell another proxy what is known here, with its age."""
+        """Return the evidence known here on the groups of a request."""
         now = self._deps.clock.now()
         groups = self._groups()
         seen = tuple(
-            messages.GroupEvidence(key, _aged(groups[key], now))
+            messages.GroupEvidence(key, _relative_evidence(groups[key], now))
             for key in question.keys
             if key in groups
         )
         return messages.EvidenceAnswer(seen)
 
-    def _by_proxy(self) -> dict[str, tuple[messages.GroupKey, ...]]:
-        """Give the proxies to ask, each with the groups it knows best."""
+    def _groups_by_proxy(self) -> dict[str, tuple[messages.GroupKey, ...]]:
+        """Return the proxies to ask, each with the groups that it polls."""
         found: dict[str, tuple[messages.GroupKey, ...]] = {}
         for key, group in self._groups().items():
             if not group.serving:
@@ -68,10 +68,10 @@
                 found[proxy] = (*found.get(proxy, ()), key)
         return found
 
-    async def _ask(
+    async def _request(
         self, proxy: str, keys: tuple[messages.GroupKey, ...]
     ) -> None:
-        asked_at = self._deps.clock.now()
+        requested_at = self._deps.clock.now()
         answer = await self._peers.ask(proxy, messages.AskEvidence(keys))
         if not isinstance(answer, messages.EvidenceAnswer):
             return
@@ -79,10 +79,12 @@
         for seen in answer.seen:
             group = groups.get(seen.key)
             if group is not None:
-                evidence = core.shifted(seen.evidence, asked_at)
-                group.post(core.EvidenceHeard(evidence, asked_at))
+                evidence = core.shifted(seen.evidence, requested_at)
+                group.post(core.EvidenceHeard(evidence, requested_at))
 
 
-def _aged(group: _group_task.GroupTask, now: float) -> core.Evidence:
-    """Give a group's evidence with times counted back from now."""
+def _relative_evidence(
+    group: _group_task.GroupTask, now: float
+) -> core.Evidence:
+    """Return a group's evidence with its times relative to ``now``."""
     return core.shifted(group.machine.evidence(), -now)
--- a/src/tidegrade/daemon/_generation_watch.py
+++ b/src/tidegrade/daemon/_generation_watch.py
@@ -1,8 +1,9 @@
-"""Following the generation of the platform's table.
+"""Detection of a restore of the platform's table.
 
-The table may come back from a copy some seconds old, in a new generation.
-Proxies that ask the platform learn of it from any answer, the others from
-heartbeats, and each then looks after what it had written there.
+The platform may restore the table from a copy that is some seconds old; this
+begins a new generation. A proxy that calls the platform learns of it from any
+answer, the other proxies from heartbeats. Each proxy then checks the rows that
+it has written, since the restore may have lost them.
 """
 
 from collections.abc import Callable
@@ -14,17 +15,17 @@
 from tidegrade import logs
 from tidegrade import ports
 
-#: Pause between looks at what the table and the others show, in seconds:
-#: about half of the pause between heartbeats.
-LOOK = 0.25
-#: Time over which proxies spread what they then ask the platform, in
-#: seconds. Each makes a read for its registration and one for the rows of
-#: its groups.
-SPREAD = 1.0
+#: Interval between checks of the generation that the table and the peers
+#: report, in seconds: about half the interval between heartbeats.
+CHECK_INTERVAL_S = 0.25
+#: Greatest random delay before a proxy checks its rows, in seconds. It
+#: spreads the load on the platform: each proxy makes one read for its
+#: registration and one for the rows of its groups.
+RECHECK_SPREAD_S = 1.0
 
 
 class GenerationWatch:
-    """Tells when the table has come back from an older copy."""
+    """Calls ``returned`` when the table was restored from an older copy."""
 
     def __init__(
         self,
@@ -36,20 +37,20 @@
         self._table = table
         self._peers = peers
         self._rng = rng
-        self._returned = returned
-        #: The latest generation that is known; 0 if none is told.
+        self._on_restore = returned
+        #: The latest known generation; 0 if none is known yet.
         self.current = 0
 
     async def run(self) -> None:
-        """Follow the generation until cancelled."""
+        """Check the generation until cancelled."""
         while True:
-            if self._take_latest():
-                await anyio.sleep(self._rng.uniform(0, SPREAD))
-                self._returned()
-            await anyio.sleep(LOOK)
+            if self._is_restored():
+                await anyio.sleep(self._rng.uniform(0, RECHECK_SPREAD_S))
+                self._on_restore()
+            await anyio.sleep(CHECK_INTERVAL_S)
 
-    def _take_latest(self) -> bool:
-        """Tell whether the table has come back since the last look."""
+    def _is_restored(self) -> bool:
+        """Return whether the table was restored since the last check."""
         beats = (peer.beat.store_generation for peer in self._peers.alive())
         latest = max([self._table.generation, *beats])
         former = self.current
@@ -57,7 +58,7 @@
             return False
         self.current = latest
         if not former:
-            # Nothing was written before.
+            # This proxy has written nothing yet that could have been lost.
             return False
         logs.write(
             logs.LogEvent.GENERATION_SEEN, generation=latest, former=former
--- a/src/tidegrade/daemon/_group_task.py
+++ b/src/tidegrade/daemon/_group_task.py
@@ -1,4 +1,8 @@
-"""The task that drives the decisions for one group and carries them out."""
+"""The task that runs the state machines of one group.
+
+The machine of the group and its supervisor decide without input or output.
+This task passes events to them and executes the commands that they return.
+"""
 
 from collections.abc import Callable
 import contextlib
@@ -20,22 +24,23 @@
 from tidegrade import logs
 from tidegrade.peers import _messages as messages
 
-#: Shortest pause between ticks, in seconds.
-MIN_TICK = 0.001
-#: Longest pause between ticks while no request is open, in seconds: about
-#: a sixth of the shortest time after which an endpoint counts as silent.
-RESTING_TICK = 0.1
-#: The same for a group that this proxy does not serve.
-AWAY_TICK = 0.5
-#: Pause between observations for the supervisor, in seconds; while it
-#: changes the primary it gets one with each tick.
-OBSERVE_INTERVAL = 0.1
-#: How long a proxy must know a group before it makes the group's first row,
-#: in seconds: by then the others are heard and it is one proxy's turn. Of
-#: 195 that started together 97 wrote each row, all but one in vain.
-SETTLES_AFTER = 2.0
-
-_NOTES = {
+#: Shortest interval between ticks, in seconds.
+MIN_TICK_S = 0.001
+#: Longest interval between ticks while no request is in progress, in seconds:
+#: about a sixth of the shortest time after which an endpoint counts as silent.
+IDLE_TICK_S = 0.1
+#: The same for a group that this proxy does not serve, in seconds.
+UNSERVED_TICK_S = 0.5
+#: Interval between observations passed to the supervisor, in seconds. During
+#: a change of the primary the supervisor gets one with each tick.
+OBSERVE_INTERVAL_S = 0.1
+#: Time for which a proxy must know a group before it creates the group's first
+#: row, in seconds. By then the proxies know each other, so the rendezvous hash
+#: selects only one of them. Without this delay, 97 of 195 proxies that started
+#: together wrote each row, and all writes but one were rejected.
+SETTLE_S = 2.0
+
+_NOTE_EVENTS = {
     'term_ending': logs.LogEvent.TERM_ENDING,
     'term_begun': logs.LogEvent.TERM_BEGUN,
     'attempt_abandoned': logs.LogEvent.ATTEMPT_ABANDONED,
@@ -44,14 +49,18 @@
 
 @attrs.define
 class _Waiter:
-    """A request that waits for its answer."""
+    """A request in progress; ``done`` is set together with its answer."""
 
     done: anyio.Event = attrs.field(factory=anyio.Event)
     answer: core.Answer | None = None
 
 
 class GroupTask:
-    """Owns a group's machine, supervisor and connections."""
+    """Owns a group's machine, supervisor and connections.
+
+    ``max_proxies`` is the number of proxies that share the connections to
+    the group's endpoints, 0 if this proxy does not serve the group.
+    """
 
     def __init__(
         self,
@@ -64,9 +73,9 @@
         self.key = key
         #: Whether this proxy keeps connections to the group's endpoints.
         self.serving = max_proxies > 0
-        #: How many proxies share those connections.
+        #: Number of proxies that share the connections, 0 if not served.
         self.sharers = max_proxies
-        #: Endpoints that no list names any more.
+        #: Endpoints that no endpoint list holds any more.
         self.gone: frozenset[str] = frozenset()
         self._deps = deps
         self._peers = peers
@@ -82,10 +91,10 @@
         )
         self._conns: dict[int, _conn_task.ConnTask] = {}
         self._waiters: dict[int, _Waiter] = {}
-        self._send, self._inbox = anyio.create_memory_object_stream[
+        self._event_sender, self._events = anyio.create_memory_object_stream[
             core.Event | supervision.SupervisorEvent
         ](math.inf)
-        self._rows = _row_task.RowTask(
+        self._row_access = _row_task.RowTask(
             _rows.row_key(key.site, key.group),
             deps.rows,
             self.post,
@@ -96,20 +105,20 @@
             in_turn=self._is_first,
         )
         self._tasks: anyio.abc.TaskGroup | None = None
-        self._next_observation = 0.0
-        self._began = deps.clock.now()
+        self._next_observation_at = 0.0
+        self._started_at = deps.clock.now()
         self._polls_for_peers = True
-        self._found_down = False
-        self._orders: dict[type, Callable[..., None]] = {
+        self._primary_was_down = False
+        self._command_handlers: dict[type, Callable[..., None]] = {
             core.OpenConn: self._open_conn,
             core.CloseConn: self._close_conn,
             core.RunJob: self._run_job,
             core.Reply: self._reply,
             core.FetchRow: self._fetch_row,
             core.ControlEnded: self._control_ended,
-            supervision.ReadRow: self._rows.order,
-            supervision.WriteRow: self._rows.order,
-            supervision.ListHolders: self._rows.order,
+            supervision.ReadRow: self._row_access.order,
+            supervision.WriteRow: self._row_access.order,
+            supervision.ListHolders: self._row_access.order,
             supervision.RunControl: self._run_control,
             supervision.RecallControls: self._recall_controls,
             supervision.AskGiveUp: self._ask_give_up,
@@ -120,12 +129,15 @@
     # Messages from other tasks --------------------------------------------
 
     def post(self, event: core.Event | supervision.SupervisorEvent) -> None:
-        """Have an event handled in turn."""
+        """Queue an event; it is dropped once the task has ended."""
         with contextlib.suppress(anyio.ClosedResourceError):
-            self._send.send_nowait(event)
+            self._event_sender.send_nowait(event)
 
     async def request(self, req: core.Request) -> core.Answer:
-        """Have a request served and wait for its one answer."""
+        """Execute a request and return its answer.
+
+        If the caller is cancelled, the request is dropped.
+        """
         waiter = _Waiter()
         self._waiters[req.id] = waiter
         self.post(core.RequestArrived(req))
@@ -140,21 +152,25 @@
         return waiter.answer
 
     def give_up(self, below: int) -> None:
-        """Give up permissions at once; nothing is acknowledged after."""
+        """Give up the write permissions of terms below ``below`` at once.
+
+        No write of such a term is acknowledged after this call.
+        """
         self._handle(core.GiveUp(below))
 
     def may_acknowledge(self, term: int) -> bool:
-        """Tell, at this very moment, if a write of ``term`` may be."""
+        """Return whether a write of ``term`` may be acknowledged right now."""
         row = self.machine.row
         if row is None or row.term != term:
             return False
         return self.machine.may_acknowledge(self._deps.clock.now())
 
     def final(self, answer: core.Answer) -> core.Answer:
-        """Give the answer to a write that is true at this very moment.
+        """Return the answer to send, after a last check of the permission.
 
-        A proxy that was paused or has given up its permission since the
-        write was confirmed must not acknowledge it any more.
+        A proxy whose process was paused, or that gave up its permission after
+        a write was confirmed, must not acknowledge the write. The outcome is
+        then unknown.
         """
         if answer.outcome is not core.Outcome.DONE:
             return answer
@@ -164,19 +180,20 @@
         return core.Answer(
             core.Outcome.UNKNOWN,
             code=core.Code.UNCONFIRMED,
-            detail='the permission to acknowledge ended meanwhile',
+            detail='write permission ended before the write was acknowledged',
         )
 
     def set_config(
         self, cfg: config.Group, version: int, max_proxies: int
     ) -> None:
-        """Put a newer configuration of the group in force.
+        """Apply a newer configuration of the group.
 
-        ``max_proxies`` share its connections; 0 if this one has none.
+        ``max_proxies`` is the number of proxies that share its connections,
+        0 if this proxy has none.
         """
         self._config_version = version
         if max_proxies and not self.serving:
-            self._rows.fetch()
+            self._row_access.fetch()
         if max_proxies != self.sharers:
             logs.write_bounded(
                 logs.LogEvent.SHARE_CHANGED,
@@ -189,46 +206,47 @@
         self.post(core.ConfigChanged(cfg, max_proxies))
 
     def opinion(self) -> messages.GroupOpinion:
-        """Give what this proxy thinks of the group's primary."""
+        """Return this proxy's opinion of the group's primary."""
         own = self._own_opinion(self._deps.clock.now())
         return messages.GroupOpinion(self.key, own.term, own.primary_down)
 
     def read_row(self) -> None:
-        """Have the row read, if this proxy serves the group."""
+        """Schedule a read of the row, if this proxy serves the group."""
         if self.serving:
-            self._rows.fetch()
+            self._row_access.fetch()
 
     def stop(self) -> None:
-        """End the task and every connection it has."""
+        """Cancel the task and close its connections."""
         if self._tasks is not None:
             self._tasks.cancel_scope.cancel()
 
-    # The loop -------------------------------------------------------------
+    # Event loop -----------------------------------------------------------
 
     async def run(self) -> None:
-        """Run until stopped."""
+        """Handle events until stopped."""
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
-            tasks.start_soon(self._rows.run)
+            tasks.start_soon(self._row_access.run)
             tasks.start_soon(self._tick)
-            async for event in self._inbox:
+            async for event in self._events:
                 self._handle(event)
 
     async def _tick(self) -> None:
         last = self._deps.clock.now()
         while True:
             wait = self.machine.next_wake() - self._deps.clock.now()
-            planned = min(max(wait, MIN_TICK), self._longest_tick())
+            planned = min(max(wait, MIN_TICK_S), self._longest_tick())
             await anyio.sleep(planned)
             now = self._deps.clock.now()
-            # Told before the tick, which would blame others for it.
-            self._note_pause(now - last, planned)
+            # Before the tick, which would otherwise take the pause of this
+            # process for silence of the endpoints and peers.
+            self._report_pause(now - last, planned)
             last = now
             self._handle(core.Tick())
             self._observe()
 
-    def _note_pause(self, seconds: float, planned: float) -> None:
-        """Tell the machines if this process has stood still."""
+    def _report_pause(self, seconds: float, planned: float) -> None:
+        """Inform both state machines if this process was paused."""
         if seconds - planned <= core.LONGEST_DELAY:
             return
         logs.write_bounded(
@@ -240,20 +258,20 @@
         self._handle(supervision.Woke())
 
     def _longest_tick(self) -> float:
-        if self.machine.in_use() or not self._watching():
+        if self.machine.in_use() or not self._is_stable():
             return self._deps.tick_s
         if self.serving:
-            return max(self._deps.tick_s, RESTING_TICK)
-        return AWAY_TICK
+            return max(self._deps.tick_s, IDLE_TICK_S)
+        return UNSERVED_TICK_S
 
     def _handle(self, event: core.Event | supervision.SupervisorEvent) -> None:
         now = self._deps.clock.now()
         if isinstance(event, supervision.SupervisorEvent):
             for order in self._supervisor.handle(event, now):
-                self._orders[type(order)](order)
+                self._command_handlers[type(order)](order)
             return
         for command in self.machine.handle(event, now):
-            self._orders[type(command)](command)
+            self._command_handlers[type(command)](command)
         if isinstance(event, core.RowSeen):
             self._log_term()
 
@@ -270,16 +288,17 @@
 
     def _observe(self) -> None:
         now = self._deps.clock.now()
-        if now < self._next_observation and self._watching():
+        if now < self._next_observation_at and self._is_stable():
             return
-        self._next_observation = now + OBSERVE_INTERVAL
-        if not self.serving and self._watching():
-            # Who has no connections can neither judge nor fence.
+        self._next_observation_at = now + OBSERVE_INTERVAL_S
+        if not self.serving and self._is_stable():
+            # Without connections this proxy can neither form an opinion of
+            # the primary nor fence endpoints.
             self._poll_for_peers(False)
             return
         own = self._own_opinion(now)
-        self._note_opinion(own, now)
-        self._share_the_work(own)
+        self._report_opinion(own, now)
+        self._update_polling(own)
         cfg = self.machine.cfg
         leaving = (n for n in cfg.endpoints if self.machine.leaving(n))
         self._handle(
@@ -294,15 +313,15 @@
                 to_follow=self.machine.to_follow(now),
                 reachable=self.machine.reachable(),
                 gone=self.gone,
-                settled=now - self._began >= SETTLES_AFTER,
+                settled=now - self._started_at >= SETTLE_S,
             )
         )
 
-    def _share_the_work(self, own: core.Opinion) -> None:
-        """Take or leave the task of asking endpoints for the others.
+    def _update_polling(self, own: core.Opinion) -> None:
+        """Start or stop polling the endpoints on behalf of the peers.
 
-        A primary that others find down is looked at here as well, since
-        only proxies that have tried it have an opinion.
+        If a peer considers the primary down, this proxy probes it as well,
+        since only proxies that have tried a primary have an opinion of it.
         """
         if not self._deps.traits.status_is_costly:
             return
@@ -315,15 +334,19 @@
             self._handle(core.Suspected(row.primary))
 
     def _is_first(self) -> bool:
-        """Tell whether this proxy does what one does for the others."""
+        """Return whether this proxy is first by the rendezvous hash.
+
+        Of the proxies that serve the group, the first does the work that one
+        proxy does for all.
+        """
         peers = self._peers.serving_ids(self.key)
         return core.rank(str(self.key), self._deps.proxy_id, peers) == 0
 
-    def _note_opinion(self, own: core.Opinion, now: float) -> None:
-        """Log and tell others what this proxy now thinks of the primary."""
-        if own.primary_down == self._found_down:
+    def _report_opinion(self, own: core.Opinion, now: float) -> None:
+        """Log and announce a changed opinion of the primary."""
+        if own.primary_down == self._primary_was_down:
             return
-        self._found_down = own.primary_down
+        self._primary_was_down = own.primary_down
         if self._deps.traits.status_is_costly:
             self._peers.beat_now()
         row = self.machine.row
@@ -350,8 +373,8 @@
             **fields,
         )
 
-    def _watching(self) -> bool:
-        """Tell whether no change of the primary is under way here."""
+    def _is_stable(self) -> bool:
+        """Return whether no change of the primary is in progress here."""
         return self._supervisor.step is core.Step.WATCH
 
     def _poll_for_peers(self, wanted: bool) -> None:
@@ -403,29 +426,31 @@
         waiter = self._waiters.get(command.req_id)
         if waiter is not None:
             core.invariant(
-                waiter.answer is None, 'a caller was answered twice'
+                waiter.answer is None,
+                'a caller got two answers for one request',
             )
             waiter.answer = command.answer
             waiter.done.set()
 
     def _fetch_row(self, _: core.FetchRow) -> None:
-        """Have the row read, by a proxy that can make use of it.
+        """Schedule a read of the row, if this proxy can use it.
 
-        One without connections to the group reads it when it gets some.
+        A proxy without connections to the group reads the row when it starts
+        to serve the group.
         """
         if self.serving or self.machine.in_use():
-            self._rows.fetch()
+            self._row_access.fetch()
 
     def _control_ended(self, command: core.ControlEnded) -> None:
-        self._log_order_ended(command)
+        self._log_control_ended(command)
         self.post(
             supervision.ControlEnded(
                 command.control, command.endpoint, command.outcome
             )
         )
 
-    def _log_order_ended(self, command: core.ControlEnded) -> None:
-        """Tell what an endpoint made of an order, and what it showed."""
+    def _log_control_ended(self, command: core.ControlEnded) -> None:
+        """Log an endpoint's outcome and report for a control job."""
         fields: dict[str, object] = {
             'group': str(self.key),
             'endpoint': command.endpoint,
@@ -445,7 +470,8 @@
     # Commands of the supervisor -------------------------------------------
 
     def _run_control(self, order: supervision.RunControl) -> None:
-        # Not posted: it must not be handled after it has been recalled.
+        # Handled at once, not queued: a queued event could be handled after
+        # the control job was recalled.
         self._handle(
             core.ControlAsked(
                 order.control, order.endpoint, order.job, order.deadline
@@ -462,9 +488,9 @@
                 self.post(supervision.GaveUp(proxy, order.below))
                 continue
             assert self._tasks is not None
-            self._tasks.start_soon(self._ask_peer, proxy, order.below)
+            self._tasks.start_soon(self._request_give_up, proxy, order.below)
 
-    async def _ask_peer(self, proxy: str, below: int) -> None:
+    async def _request_give_up(self, proxy: str, below: int) -> None:
         question = messages.GiveUp(self.key, below)
         answer = await self._peers.ask(proxy, question)
         if isinstance(answer, messages.GaveUp):
@@ -478,12 +504,12 @@
 
     def _note(self, order: supervision.Note) -> None:
         logs.write(
-            _NOTES[order.event], group=str(self.key), detail=order.detail
+            _NOTE_EVENTS[order.event], group=str(self.key), detail=order.detail
         )
 
 
 def _ms_since(at: float | None, now: float) -> int | None:
-    """Give milliseconds since a moment; None if there was none."""
+    """Return the milliseconds since ``at``, None without a finite ``at``."""
     if at is None or math.isinf(at):
         return None
     return round((now - at) * 1000)
--- a/src/tidegrade/daemon/_peers_task.py
+++ b/src/tidegrade/daemon/_peers_task.py
@@ -1,4 +1,8 @@
-"""The task that knows the other proxies and talks with them."""
+"""The task that tracks the other proxies and exchanges messages with them.
+
+A proxy is "listed" if the platform's list of VMs holds it, and "known" if a
+heartbeat of it has arrived.
+"""
 
 from collections.abc import Callable
 
@@ -14,25 +18,31 @@
 from tidegrade.peers import _server
 from tidegrade import ports
 
-#: Time that a peer gets to answer a control question, in seconds.
-ASK_LIMIT = 0.3
-#: Silence after which a peer that gives something large is given up, in
-#: seconds: with twenty that ask at once, the first byte may wait behind
-#: the answers to all others.
-FETCH_SILENCE = 1.0
-#: An address that nobody named for this long is forgotten, in seconds.
-FORGET_AFTER = 60.0
-#: Intervals between heartbeats by which one that came through relays may
-#: be older: each of the two relays on the way waits for up to one.
+#: Time-out of a control request to a peer, in seconds.
+ASK_TIMEOUT_S = 0.3
+#: Silence after which the transfer of a large answer fails, in seconds. If
+#: twenty proxies ask a peer at once, the first byte of an answer may be queued
+#: behind the answers to all others.
+FETCH_SILENCE_S = 1.0
+#: Time after which a peer without heartbeats, or an address that is neither
+#: listed nor known, is removed, in seconds.
+REMOVE_AFTER_S = 60.0
+#: Additional age, in heartbeat intervals, up to which a relayed heartbeat
+#: counts as alive: each of the two relays on its path adds up to one interval.
 RELAYED_INTERVALS = 2
-#: Time without news of a failure domain after which it is probably cut off,
-#: in seconds: two intervals, since one digest may be lost, and a little for
-#: one that comes late. Single proxies count as alive for longer.
-DOMAIN_SILENCE = 1.2
+#: Time without a newer heartbeat after which a failure domain counts as cut
+#: off, in seconds: two intervals, since one digest may be lost, and a margin
+#: for a late one. Single proxies count as alive for longer.
+DOMAIN_SILENCE_S = 1.2
 
 
 class PeersTask:
-    """Owns the links, the heartbeats and what they tell."""
+    """Owns the links to the peers, the heartbeats and the roster.
+
+    ``handler`` is called for received messages that this task does not
+    process itself. ``beat_of`` returns the current heartbeat of this proxy;
+    none is sent while it is None.
+    """
 
     def __init__(self, deps: _deps.Deps, handler: _server.Handler) -> None:
         self._deps = deps
@@ -44,70 +54,74 @@
         self._server = _server.PeerServer(own, key, self._receive)
         relayed_s = cfg.alive_s + RELAYED_INTERVALS * cfg.heartbeat_s
         self._roster = _roster.Roster(deps.proxy_id, cfg.alive_s, relayed_s)
-        self._spread = _spread.Spread(
+        self._gossip = _spread.Spread(
             _roster.Spot(deps.proxy_id, deps.domain),
             self._roster,
             self._links,
             deps.clock,
             deps.rng,
         )
-        #: Whether this proxy has seen a list of the others.
+        #: Whether the platform's list of VMs was received.
         self.has_looked = False
-        self._named: dict[_links.Address, float] = {}
+        self._seen_at: dict[_links.Address, float] = {}
         self.beat_of: Callable[[], messages.Heartbeat] | None = None
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
-        """Run until cancelled."""
+        """Accept connections and send heartbeats until cancelled."""
         async with anyio.create_task_group() as tasks:
             await tasks.start(self._server.serve)
             await tasks.start(self._links.run)
-            tasks.start_soon(self._spread.run)
+            tasks.start_soon(self._gossip.run)
             task_status.started()
-            await self._beat()
+            await self._send_heartbeats()
 
-    # Who there is ---------------------------------------------------------
+    # Known proxies --------------------------------------------------------
 
     def learn_vms(self, vms: list[ports.Vm]) -> None:
-        """Take in the platform's list; it may lag in both directions."""
+        """Record the platform's list of VMs.
+
+        It may lack proxies that have started and hold some that have ended.
+        """
         now = self._deps.clock.now()
         for vm in vms:
             own = _links.Address(vm.host, vm.port) == self._own
             if vm.role == 'proxy' and not own:
-                self._named[self._roster.list_vm(vm, now)] = now
+                self._seen_at[self._roster.list_vm(vm, now)] = now
         self.has_looked = True
-        # Whoever has just started is heard of half an interval sooner.
+        # A proxy that has just started becomes known half an interval sooner
+        # than with its next regular heartbeat.
         self.beat_now()
 
     def heard(self, beat: messages.Heartbeat) -> None:
-        """Take in a heartbeat that its proxy sent here."""
-        self._spread.heard(beat)
+        """Process a heartbeat received directly from its proxy."""
+        self._gossip.heard(beat)
 
     def heard_digest(self, digest: messages.Digest) -> None:
-        """Take in what another proxy has heard of others."""
-        self._spread.heard_digest(digest)
+        """Process a digest of heartbeats that another proxy sent."""
+        self._gossip.heard_digest(digest)
 
     def known(self) -> list[_roster.Peer]:
-        """Give every peer that was heard and not forgotten since."""
+        """Return all known peers, alive or not."""
         return self._roster.known()
 
     def heard_outside(self) -> float | None:
-        """Give when there was last news of another failure domain."""
+        """Return when a newer heartbeat of another domain last arrived."""
         return self._roster.news_outside(self._deps.domain)
 
     def alive(self) -> list[_roster.Peer]:
-        """Give the peers heard lately."""
+        """Return the peers that are alive."""
         return self._roster.alive(self._deps.clock.now())
 
     def alive_ids(self) -> tuple[str, ...]:
-        """Give the names of the peers heard lately."""
+        """Return the proxy ids of the peers that are alive."""
         return tuple(peer.beat.proxy for peer in self.alive())
 
     def named_count(self) -> int:
-        """Give how many other proxies were listed or heard lately."""
+        """Return the number of other proxies that are listed or known."""
         return len(self._roster.addresses())
 
     def unheard(self) -> list[str]:
-        """Give the addresses that were named but not heard lately."""
+        """Return the listed or known addresses without an alive peer."""
         heard = {peer.address for peer in self.alive()}
         return [
             f'{address.host}:{address.port}'
@@ -115,66 +129,72 @@
         ]
 
     def serving(self, key: messages.GroupKey) -> list[_roster.Peer]:
-        """Give the peers heard lately that serve a group themselves."""
+        """Return the alive peers that serve a group themselves."""
         return self._roster.serving(key, self._deps.clock.now())
 
     def serving_ids(self, key: messages.GroupKey) -> tuple[str, ...]:
-        """Give the names of the peers that serve a group."""
+        """Return the proxy ids of the alive peers that serve a group."""
         return tuple(peer.beat.proxy for peer in self.serving(key))
 
     def first_for(self, key: messages.GroupKey) -> str:
-        """Give the proxy that asks a group's endpoints for the others.
+        """Return the proxy that polls a group's endpoints for the others.
 
-        This proxy must be one of those that serve the group.
+        This proxy must itself serve the group.
         """
         proxies = [self._deps.proxy_id, *self.serving_ids(key)]
         return core.first_in_turn(str(key), proxies)
 
     def candidates(self) -> dict[str, set[str]]:
-        """Give the other proxies that may take over work, by domain.
+        """Return the other proxies that may take over work, by domain.
 
-        Those that were listed just now count: they may be starting.
+        Proxies that were listed recently count, since they may be starting.
         """
         return self._roster.candidates(self._deps.clock.now())
 
     def starting(self) -> set[str]:
-        """Give the proxies that were listed just now and not yet heard."""
+        """Return the proxies listed recently and not heard yet."""
         return self._roster.starting(self._deps.clock.now())
 
     def silent_domains(self) -> frozenset[str]:
-        """Give the other failure domains that are probably cut off."""
-        oldest = self._deps.clock.now() - DOMAIN_SILENCE
+        """Return the other failure domains that count as cut off."""
+        oldest = self._deps.clock.now() - DOMAIN_SILENCE_S
         return self._roster.silent_domains(oldest) - {self._deps.domain}
 
     def heard_since(self, proxy: str, at: float) -> bool:
-        """Tell whether a proxy gave a sign of life after a moment."""
+        """Return whether a proxy sent a heartbeat after the time ``at``.
+
+        True also for an unknown proxy, since it may just have started.
+        """
         return self._roster.heard_since(proxy, at)
 
     def domain_of(self, proxy: str) -> str:
-        """Give a proxy's failure domain; empty if it isn't known."""
+        """Return a proxy's failure domain, empty if it is not known."""
         return self._roster.domain_of(proxy)
 
     def starting_domains(self) -> list[str]:
-        """Give the domain of each proxy that was just listed, not heard."""
+        """Return the failure domain of each starting proxy."""
         return self._roster.starting_domains(self._deps.clock.now())
 
     def opinions(self, key: messages.GroupKey) -> tuple[core.Opinion, ...]:
-        """Give what the peers heard lately think of a group's primary."""
+        """Return the alive peers' opinions of a group's primary."""
         return tuple(
-            core.Opinion(peer.beat.proxy, said.term, said.primary_down)
+            core.Opinion(peer.beat.proxy, opinion.term, opinion.primary_down)
             for peer in self.serving(key)
-            for said in peer.beat.opinions
-            if said.key == key
+            for opinion in peer.beat.opinions
+            if opinion.key == key
         )
 
     # Messages -------------------------------------------------------------
 
     def announce(self, body: messages.Announcement) -> None:
-        """Have every proxy told that can be reached."""
-        self._spread.announce(body)
+        """Send a message to all proxies that can be reached."""
+        self._gossip.announce(body)
 
     def tell(self, proxy: str, body: messages.PeerBody) -> None:
-        """Send one proxy a message that wants no answer."""
+        """Send one proxy a message that has no answer.
+
+        It is dropped if the proxy's address is not known.
+        """
         address = self._roster.address_of(proxy)
         if address is not None:
             self._links.post(address, body)
@@ -182,14 +202,17 @@
     async def ask(
         self, proxy: str, body: messages.PeerBody
     ) -> messages.PeerBody | None:
-        """Ask one proxy and give its answer, if it came in time."""
-        asked = await self.ask_within(proxy, body, ASK_LIMIT)
+        """Send a request to one proxy; None if no answer came in time."""
+        asked = await self.ask_within(proxy, body, ASK_TIMEOUT_S)
         return asked.answer
 
     async def ask_within(
         self, proxy: str, body: messages.PeerBody, limit: float
     ) -> _links.Asked:
-        """Ask one proxy; the result says if the question was sent."""
+        """Send a request with a time-out of ``limit`` seconds.
+
+        The result states whether the request was sent.
+        """
         address = self._roster.address_of(proxy)
         if address is None:
             return _links.Asked(sent=False)
@@ -198,27 +221,28 @@
     async def fetch(
         self, proxy: str, body: messages.PeerBody
     ) -> messages.PeerBody | None:
-        """Ask one proxy for something large, and wait while it comes."""
+        """Request a large answer, and wait as long as its bytes arrive."""
         address = self._roster.address_of(proxy)
         if address is None:
             return None
-        asked = await self._links.fetch(address, body, FETCH_SILENCE)
+        asked = await self._links.fetch(address, body, FETCH_SILENCE_S)
         return asked.answer
 
     async def ask_any(
         self, body: messages.PeerBody
     ) -> messages.PeerBody | None:
-        """Ask the other proxies in turn until one answers.
+        """Send a request to the other proxies in turn until one answers.
 
-        Those with the newest configuration go first: two that both lack it
-        would else ask each other for ever. What is asked for may be large.
+        Proxies with the newest configuration come first: two proxies that
+        both lack it would otherwise ask each other for ever. The answer may
+        be large.
         """
         peers = sorted(
             self.alive(), key=lambda p: p.beat.config_version, reverse=True
         )
         addresses = [peer.address for peer in peers]
         for address in addresses or self._roster.addresses():
-            asked = await self._links.fetch(address, body, ASK_LIMIT)
+            asked = await self._links.fetch(address, body, ASK_TIMEOUT_S)
             if asked.answer is not None:
                 return asked.answer
         return None
@@ -226,43 +250,43 @@
     async def _receive(
         self, body: messages.PeerBody
     ) -> messages.PeerBody | None:
-        """Take in a message; what the program handles is left to it."""
+        """Process a received message, or leave it to the handler."""
         if isinstance(body, messages.AskDomain):
-            return self._spread.domain_digest(body)
+            return self._gossip.domain_digest(body)
         if isinstance(body, messages.Announcement) and body.pass_on:
-            self._spread.pass_on(body)
+            self._gossip.pass_on(body)
         return await self._handler(body)
 
     # Heartbeats -----------------------------------------------------------
 
     def beat_now(self) -> None:
-        """Tell the others at once, as when an opinion has changed."""
+        """Send a heartbeat at once, such as after a change of opinion."""
         if self.beat_of is not None:
-            self._tell_all(self.beat_of())
+            self._send_heartbeat(self.beat_of())
 
     def is_relay(self) -> bool:
-        """Tell whether others count on this proxy to pass things on."""
-        return self._spread.is_relay()
+        """Return whether this proxy acts as a relay."""
+        return self._gossip.is_relay()
 
-    def _tell_all(self, beat: messages.Heartbeat) -> None:
-        self._spread.send(beat)
-        self._spread.send_digest(beat)
+    def _send_heartbeat(self, beat: messages.Heartbeat) -> None:
+        self._gossip.send(beat)
+        self._gossip.send_digest(beat)
 
-    async def _beat(self) -> None:
+    async def _send_heartbeats(self) -> None:
         while True:
             if self.beat_of is not None:
-                self._tell_all(self.beat_of())
-            self._forget()
+                self._send_heartbeat(self.beat_of())
+            self._remove_silent()
             await anyio.sleep(self._deps.peers.heartbeat_s)
 
-    def _forget(self) -> None:
-        """Give up those that nobody names any more."""
+    def _remove_silent(self) -> None:
+        """Remove peers and addresses that are neither listed nor heard."""
         now = self._deps.clock.now()
-        oldest = now - FORGET_AFTER
+        oldest = now - REMOVE_AFTER_S
         self._roster.forget(oldest)
         for peer in self._roster.known():
-            self._named[peer.address] = now
-        for address, named in list(self._named.items()):
-            if named < oldest:
-                del self._named[address]
+            self._seen_at[peer.address] = now
+        for address, seen_at in list(self._seen_at.items()):
+            if seen_at < oldest:
+                del self._seen_at[address]
                 self._roster.unlist(address)
--- a/src/tidegrade/daemon/_quotas.py
+++ b/src/tidegrade/daemon/_quotas.py
@@ -1,4 +1,9 @@
-"""Asking the keepers of tenants' quotas, and being the keeper of some."""
+"""Rate limits of workspaces, shared by all proxies.
+
+Each workspace (``tenant``) has one keeper, a proxy chosen by rendezvous
+hashing, that grants its operations. This module asks the keepers for grants,
+and grants for the workspaces whose keeper this proxy is.
+"""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -13,27 +18,30 @@
 from tidegrade import ports
 from tidegrade import tenants
 
-#: Pause between looks which proxies there are, in seconds: about half of
-#: the pause between their heartbeats.
-LOOK = 0.25
-#: Time that a keeper gets for its answer, in seconds: many round trips, and
-#: short beside what callers wait for an operation.
-ANSWER_LIMIT = 0.15
-#: How long a keeper that did not answer is passed over at least, in seconds;
-#: then until a heartbeat that it sent since comes.
-AVOIDED_FOR = 1.0
-#: Pause between reports of what was granted, in seconds.
-REPORT_INTERVAL = 1.0
-#: When to come back if no keeper answers, in seconds.
-RETRY_AFTER = 0.5
+#: Interval between updates of the known proxies, in seconds: about half the
+#: interval between their heartbeats.
+UPDATE_INTERVAL_S = 0.25
+#: Time-out of a question to a keeper, in seconds: many round trips, but short
+#: compared with the time that callers wait for an operation.
+KEEPER_TIMEOUT_S = 0.15
+#: Shortest time for which a keeper that did not answer is skipped, in
+#: seconds. After it, the keeper is skipped until a heartbeat arrives that it
+#: sent after the failure.
+SKIP_KEEPER_S = 1.0
+#: Interval between log reports of granted operations, in seconds.
+REPORT_INTERVAL_S = 1.0
+#: Wait that a caller is told when no keeper answers, in seconds.
+RETRY_AFTER_S = 0.5
 
 
 class Quotas:
-    """Has a tenant's operations granted by the one proxy that keeps it.
+    """Admits the operations of workspaces within their rate limits.
 
-    ``cut_off`` tells whether this failure domain hears no other, and
-    ``draining`` whether this proxy is stopping: others then turn to the next
-    keeper, and so does it.
+    ``version`` returns the configuration version in force, and ``named`` a
+    workspace by its name, None if it is unknown. ``cut_off`` returns whether
+    this failure domain receives heartbeats of no other. ``draining`` returns
+    whether this proxy is stopping: the other proxies then use the next keeper
+    in turn, and so does this one.
     """
 
     def __init__(
@@ -46,11 +54,11 @@
         cut_off: Callable[[], bool] = lambda: False,
         draining: Callable[[], bool] = lambda: False,
     ) -> None:
-        self._spot = spot
+        self._identity = spot
         self._peers = peers
         self._clock = clock
         self._version = version
-        self._named = named
+        self._tenant_named = named
         self._cut_off = cut_off
         self._draining = draining
         self._keeper = core.QuotaKeeper(clock.now())
@@ -60,12 +68,12 @@
         self.look()
 
     async def run(self) -> None:
-        """Follow which proxies there are, until cancelled."""
+        """Update the known proxies and log reports until cancelled."""
         last = self._clock.now()
         while True:
-            await anyio.sleep(LOOK)
+            await anyio.sleep(UPDATE_INTERVAL_S)
             now = self._clock.now()
-            late = now - last - LOOK
+            late = now - last - UPDATE_INTERVAL_S
             if late > core.LONGEST_DELAY:
                 self._keeper.paused(late)
             last = now
@@ -73,10 +81,10 @@
             self._report(now)
 
     def _report(self, now: float) -> None:
-        """Log what this proxy granted as a keeper; now and then."""
+        """Log what this proxy granted as a keeper, if a report is due."""
         if now < self._next_report:
             return
-        self._next_report = now + REPORT_INTERVAL
+        self._next_report = now + REPORT_INTERVAL_S
         for bucket, counts in self._keeper.reports():
             logs.write_bounded(
                 logs.LogEvent.QUOTA_KEPT,
@@ -90,35 +98,41 @@
                 new=now < bucket.new_until,
             )
 
-    # Operations that start here -------------------------------------------
+    # Operations received by this proxy ------------------------------------
 
     async def admit(
         self, tenant: tenants.Tenant, patience: float
     ) -> core.Admission:
-        """Have an operation granted that can wait ``patience`` seconds."""
+        """Request a grant for an operation that can wait ``patience`` seconds.
+
+        The keepers are tried in turn. If none answers, the operation is
+        refused.
+        """
         instead_of = ''
         grant: core.Grant | None
-        for keeper in self._keepers(tenant.name):
-            if keeper == self._spot.proxy:
+        for keeper in self._keepers_to_ask(tenant.name):
+            if keeper == self._identity.proxy:
                 grant = self._grant(tenant, patience, instead_of)
             else:
-                grant = await self._ask(keeper, tenant, patience, instead_of)
+                grant = await self._ask_keeper(
+                    keeper, tenant, patience, instead_of
+                )
             if grant is not None:
                 return core.Admission(
                     grant.granted, grant.wait, keeper, grant.part, grant.at
                 )
             instead_of = instead_of or self._domains.get(keeper, '')
-        return core.Admission(False, RETRY_AFTER)
+        return core.Admission(False, RETRY_AFTER_S)
 
     def give_back(self, name: str, admission: core.Admission) -> None:
-        """Give back a grant whose operation reached no endpoint."""
+        """Return a grant whose operation reached no endpoint to its keeper."""
         back = messages.QuotaBack(name, admission.at)
-        if admission.keeper == self._spot.proxy:
+        if admission.keeper == self._identity.proxy:
             self.given_back(back)
         else:
             self._peers.tell(admission.keeper, back)
 
-    async def _ask(
+    async def _ask_keeper(
         self,
         keeper: str,
         tenant: tenants.Tenant,
@@ -133,7 +147,9 @@
             patience,
             instead_of,
         )
-        asked = await self._peers.ask_within(keeper, question, ANSWER_LIMIT)
+        asked = await self._peers.ask_within(
+            keeper, question, KEEPER_TIMEOUT_S
+        )
         if isinstance(asked.answer, messages.QuotaGrant):
             return asked.answer.grant
         self._failed_at[keeper] = self._clock.now()
@@ -145,31 +161,34 @@
         )
         return None
 
-    def _keepers(self, name: str) -> tuple[str, ...]:
-        """Give whom to ask, the usual keeper first."""
+    def _keepers_to_ask(self, name: str) -> tuple[str, ...]:
+        """Return the keepers to ask, the regular one first.
+
+        Proxies behind a network partition are left out if others remain.
+        """
         proxies = self._domains
         if self._cut_off():
-            own = self._spot.domain
+            own = self._identity.domain
             proxies = {p: d for p, d in proxies.items() if d == own}
         silent = self._peers.silent_domains()
-        near = {p: d for p, d in proxies.items() if d not in silent}
+        reachable = {p: d for p, d in proxies.items() if d not in silent}
         failed = {
             proxy
             for proxy, at in self._failed_at.items()
-            if self._is_avoided(proxy, at)
+            if self._is_skipped(proxy, at)
         }
-        return core.keepers_of(name, near or proxies, failed)
+        return core.keepers_of(name, reachable or proxies, failed)
 
-    def _is_avoided(self, proxy: str, failed_at: float) -> bool:
-        if self._clock.now() - failed_at < AVOIDED_FOR:
+    def _is_skipped(self, proxy: str, failed_at: float) -> bool:
+        if self._clock.now() - failed_at < SKIP_KEEPER_S:
             return True
         return not self._peers.heard_since(proxy, failed_at)
 
-    # What other proxies ask -----------------------------------------------
+    # Requests of other proxies --------------------------------------------
 
     def answer(self, question: messages.AskQuota) -> messages.QuotaGrant:
-        """Grant an operation that starts at another proxy, or refuse it."""
-        tenant = self._named(question.tenant)
+        """Grant or refuse an operation that another proxy received."""
+        tenant = self._tenant_named(question.tenant)
         if tenant is None or question.config_version > self._version():
             tenant = tenants.Tenant(
                 question.tenant, frozenset(), question.rate, question.burst
@@ -179,7 +198,7 @@
         )
 
     def given_back(self, body: messages.QuotaBack) -> None:
-        """Take back a grant that was not used."""
+        """Take back an unused grant that this proxy gave as keeper."""
         self._keeper.give_back(body.tenant, body.at, self._clock.now())
 
     def _grant(
@@ -187,56 +206,57 @@
     ) -> core.Grant:
         return self._keeper.grant(
             tenant,
-            self._part(instead_of),
+            self._visible_part(instead_of),
             patience,
             self._clock.now(),
             stands_in=not core.keeps(
-                tenant.name, self._spot.proxy, self._domains
+                tenant.name, self._identity.proxy, self._domains
             ),
         )
 
-    # Who there is ---------------------------------------------------------
+    # Known proxies --------------------------------------------------------
 
     def look(self) -> None:
-        """Take in which proxies there are, and who keeps which tenant."""
+        """Update the known proxies and the workspaces that this one keeps."""
         domains = {
             proxy: domain
             for domain, proxies in self._peers.candidates().items()
             for proxy in proxies
         }
         if not domains or not self._draining():
-            domains[self._spot.proxy] = self._spot.domain
+            domains[self._identity.proxy] = self._identity.domain
         if domains.keys() != self._domains.keys():
             self._domains = domains
             self._failed_at = {
                 p: at for p, at in self._failed_at.items() if p in domains
             }
-            self._keeper.keep_only(self._kept())
-        self._keeper.observe(self._part(''), self._clock.now())
+            self._keeper.keep_only(self._kept_tenants())
+        self._keeper.observe(self._visible_part(''), self._clock.now())
 
-    def _kept(self) -> frozenset[str]:
-        """Give the tenants whose keeper this proxy is, of those it serves."""
+    def _kept_tenants(self) -> frozenset[str]:
+        """Return the workspaces, of those with a bucket here, kept here."""
         return frozenset(
             name
             for name in self._keeper
-            if core.keeps(name, self._spot.proxy, self._domains)
+            if core.keeps(name, self._identity.proxy, self._domains)
         )
 
-    def _part(self, instead_of: str) -> float:
-        """Give the part of all proxies that is seen here.
+    def _visible_part(self, instead_of: str) -> float:
+        """Return the fraction of all proxies that is visible here.
 
-        Proxies in the domain of a keeper that did not answer are left out:
-        it may be cut off, and grant by its own part.
+        The keeper grants this fraction of a limit. Proxies in ``instead_of``,
+        the failure domain of a keeper that did not answer, do not count: that
+        domain may be cut off, with a keeper that grants by its own fraction.
         """
-        seen = self._counted(
+        seen = self._count(
             (peer.beat.domain for peer in self._peers.alive()), instead_of
         )
-        starting = self._counted(self._peers.starting_domains(), instead_of)
+        starting = self._count(self._peers.starting_domains(), instead_of)
         known = 1 + self._peers.named_count()
         return core.part_seen(1 + seen, known, starting)
 
-    def _counted(self, domains: Iterable[str], instead_of: str) -> int:
-        """Count the proxies that may speak for a part of the limit."""
+    def _count(self, domains: Iterable[str], instead_of: str) -> int:
+        """Count the proxies whose part of the limit may be granted here."""
         if self._cut_off():
-            return sum(domain == self._spot.domain for domain in domains)
+            return sum(domain == self._identity.domain for domain in domains)
         return sum(domain != instead_of for domain in domains)
--- a/src/tidegrade/daemon/_registration.py
+++ b/src/tidegrade/daemon/_registration.py
@@ -1,4 +1,4 @@
-"""Registration of a proxy, so that supervisors know of it."""
+"""Registration of a proxy in the platform's table, for supervisors."""
 
 from collections.abc import Callable
 
@@ -9,51 +9,51 @@
 from tidegrade.daemon import _deps
 from tidegrade import logs
 
-#: Pause between attempts, in seconds.
-RETRY_PAUSE = 0.2
+#: Pause between attempts to register, in seconds.
+RETRY_PAUSE_S = 0.2
 
 
 class Registration:
-    """Keeps this run of the proxy in the platform's table.
+    """Registers this run of the proxy in the platform's table.
 
-    Only a registered proxy may hold write permissions: a supervisor lists
-    the registered ones *after* it has fenced a majority, so a proxy that
-    it doesn't find can't gain a permission for the term that ends.
+    Only a registered proxy may hold write permissions. A supervisor lists
+    the registered proxies *after* it has fenced a majority, so a proxy that
+    is not on its list can't gain a permission for the term that ends.
 
-    The row is that of the VM. A run takes the place of the one before it,
-    which has ended; a supervisor would wait for it each time it ends a
-    term. Every change is bound to the version that was seen, so one of a
-    former run that comes late changes nothing. The row is looked at first:
-    the platform takes fewer writes than reads, and 195 proxies that start
-    together wait 1.3 s for theirs.
+    There is one row per VM. A new run replaces the row of the run before,
+    which has ended; otherwise a supervisor would wait for that run each time
+    it ends a term. Every write and delete is conditional on the tag that was
+    read, so a late one of a former run changes nothing. The row is read
+    before it is written, since the platform accepts fewer writes than reads:
+    195 proxies that start together wait 1.3 s for their writes.
     """
 
     def __init__(
         self, deps: _deps.Deps, registered: Callable[[], None]
     ) -> None:
         self._deps = deps
-        self._registered = registered
+        self._on_registered = registered
         self._key = _rows.HOLDERS + core.vm_of(deps.proxy_id)
         self._tag = ''
-        self._wanted = anyio.Event()
+        self._check_requested = anyio.Event()
 
     async def run(self) -> None:
-        """Register; then there is nothing more to do."""
+        """Register once and return."""
         await self._until_registered()
         logs.write(logs.LogEvent.REGISTERED)
-        self._registered()
+        self._on_registered()
 
     async def keep(self) -> None:
-        """Register, and again whenever the row may have been lost."""
+        """Register, and check the row again on each call of `look_again`."""
         await self.run()
         while True:
-            await self._wanted.wait()
-            self._wanted = anyio.Event()
+            await self._check_requested.wait()
+            self._check_requested = anyio.Event()
             await self._until_registered()
 
     def look_again(self) -> None:
-        """See that the row is there: the table may have lost it."""
-        self._wanted.set()
+        """Have `keep` check the row, which a table restore may have lost."""
+        self._check_requested.set()
 
     async def _until_registered(self) -> None:
         cfg = self._deps
@@ -62,21 +62,21 @@
         )
         value = _rows.encode_registered(entry)
         while not await self._register(value):
-            await anyio.sleep(RETRY_PAUSE)
+            await anyio.sleep(RETRY_PAUSE_S)
 
     async def withdraw(self) -> None:
-        """Take the registration back when no permission can be held."""
+        """Delete the row; only once this run can hold no permission."""
         if self._tag:
             await self._deps.table.delete(self._key, self._tag)
 
     async def _register(self, value: bytes) -> bool:
-        """Tell whether the row names this run."""
+        """Try to register, and return whether the row names this run."""
         read = await self._deps.table.read(self._key)
         if read.is_err():
             return False
         former = read.unwrap()
         if former is not None and former.value == value:
-            # An attempt without an answer took effect.
+            # An earlier write whose answer was lost took effect.
             self._tag = former.tag
             return True
         tag = former.tag if former is not None else None
--- a/src/tidegrade/daemon/_roster.py
+++ b/src/tidegrade/daemon/_roster.py
@@ -1,4 +1,8 @@
-"""Which other proxies there are, as far as this one knows."""
+"""The other proxies that this one knows.
+
+They are known from their heartbeats and from the platform's list of VMs.
+Times are those of the proxy's own clock, in seconds.
+"""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -20,12 +24,13 @@
 
 @attrs.define
 class Peer:
-    """The last heartbeat of another proxy and when it was sent.
+    """Another proxy, with its last heartbeat and the time it was sent.
 
-    ``changed_at`` is when this proxy learned that its content differs from
-    the one before; a relay passes it on for a while from then.
-    A ``relayed`` heartbeat came through others, and may be older. At
-    ``config_seen_at`` its configuration was known to be the newest.
+    ``changed_at`` is the time at which this proxy learned of the heartbeat's
+    current content; a relay forwards it in full for a while from then on.
+    A ``relayed`` heartbeat came through relays and may be older than one
+    received directly. At ``config_seen_at`` the peer's configuration was
+    known to be the newest.
     """
 
     beat: messages.Heartbeat
@@ -37,23 +42,23 @@
 
     @property
     def address(self) -> _links.Address:
-        """Give where the peer takes connections."""
+        """The address at which the peer accepts connections."""
         return _links.Address(self.beat.host, self.beat.port)
 
 
 @attrs.frozen
-class _Listed:
-    """A proxy that the platform lists, and since when."""
+class _ListedVm:
+    """A VM on the platform's list, and the time it first appeared there."""
 
     vm: ports.Vm
     since: float
 
 
 class Roster:
-    """Proxies by their heartbeats, and addresses that a list named.
+    """The peers known by heartbeats, and the proxies that the platform lists.
 
-    A peer is alive if its last heartbeat was sent within ``alive_s``, or
-    ``relayed_s`` where it came through relays.
+    A peer is alive if its last heartbeat was sent at most ``alive_s`` seconds
+    ago, or ``relayed_s`` seconds if it came through relays.
     """
 
     def __init__(
@@ -63,25 +68,26 @@
         self._alive_s = alive_s
         self._relayed_s = alive_s if relayed_s is None else relayed_s
         self._peers: dict[str, Peer] = {}
-        self._at: dict[_links.Address, str] = {}
+        self._id_by_address: dict[_links.Address, str] = {}
         self._serving: dict[messages.GroupKey, dict[str, Peer]] = {}
-        #: Of each domain: when the newest heartbeat was sent, and came.
-        self._newest: dict[str, float] = {}
-        self._news_at: dict[str, float] = {}
-        self._listed: dict[_links.Address, _Listed] = {}
+        #: For each failure domain, the times at which the newest heartbeat
+        #: was sent by its proxy and received here.
+        self._newest_sent_at: dict[str, float] = {}
+        self._newest_received_at: dict[str, float] = {}
+        self._listed: dict[_links.Address, _ListedVm] = {}
 
-    # What comes in --------------------------------------------------------
+    # Updates --------------------------------------------------------------
 
     def list_vm(self, vm: ports.Vm, now: float) -> _links.Address:
-        """Note where the platform lists a proxy, and in which domain."""
+        """Record a proxy that the platform lists and return its address."""
         address = _links.Address(vm.host, vm.port)
         known = self._listed.get(address)
         if known is None or known.vm != vm:
-            self._listed[address] = _Listed(vm, now)
+            self._listed[address] = _ListedVm(vm, now)
         return address
 
     def unlist(self, address: _links.Address) -> None:
-        """Forget an address that was listed."""
+        """Remove a listed address."""
         self._listed.pop(address, None)
 
     def heard(
@@ -91,30 +97,33 @@
         now: float,
         relayed: bool = False,
     ) -> Peer | None:
-        """Take in a heartbeat sent at ``at``; None if it is no news."""
+        """Record a heartbeat sent at ``at`` and return its peer.
+
+        Returns None if it is this proxy's own or not newer than the last.
+        """
         if beat.proxy == self._own_id:
             return None
         known = self._peers.get(beat.proxy)
         if known is None:
             peer = Peer(beat, at, now, beat.revision(), relayed)
             self._add(peer, now)
-            _note_config(peer, beat.config_age, at)
+            _record_config(peer, beat.config_age, at)
             return peer
         if known.heard_at >= at:
             return None
         self._refresh(known, at, relayed, now)
         if known.beat != beat:
             self._change(known, beat, now)
-        _note_config(known, beat.config_age, at)
+        _record_config(known, beat.config_age, at)
         return known
 
     def refreshed(
         self, proxy: str, revision: int, at: float, now: float
     ) -> None:
-        """Note a sign of life of a proxy whose heartbeat is known."""
+        """Record that an unchanged heartbeat was sent again at ``at``."""
         known = self._peers.get(proxy)
         if known is None or known.revision != revision:
-            # The heartbeat itself will come; it may say something new.
+            # The content may have changed: the full heartbeat follows.
             return
         if known.heard_at < at:
             self._refresh(known, at, True, now)
@@ -126,10 +135,11 @@
         own: int,
         now: float,
     ) -> bool:
-        """Note that all of a domain lived; tell if they are those known.
+        """Compare a domain's summary with the heartbeats known here.
 
-        ``named`` are not among them; ``own`` is the revision of this
-        proxy's own heartbeat, which may be among them.
+        If they match, all proxies in the summary are refreshed and the result
+        is True. The summary leaves out the proxies in ``named``, and may hold
+        this proxy's own heartbeat, whose revision is ``own``.
         """
         members = [
             peer
@@ -149,38 +159,39 @@
     def has_config(
         self, proxy: str, version: int, age: float | None, at: float
     ) -> None:
-        """Note which configuration a proxy has in force.
+        """Record the configuration version that a proxy has in force.
 
-        It was known to be the newest ``age`` seconds before ``at``.
+        It was known to be the newest ``age`` seconds before ``at``; None if
+        that is not known.
         """
         known = self._peers.get(proxy)
         if known is None or known.beat.config_version > version:
             return
         if known.beat.config_version < version:
             known.beat = attrs.evolve(known.beat, config_version=version)
-        _note_config(known, age, at)
+        _record_config(known, age, at)
 
     def forget(self, oldest: float) -> None:
-        """Forget the proxies that were not heard since ``oldest``."""
+        """Remove the peers whose last heartbeat was sent before ``oldest``."""
         for peer in list(self._peers.values()):
             if peer.heard_at < oldest:
                 self._remove(peer)
 
     def _add(self, peer: Peer, now: float) -> None:
-        former = self._at.get(peer.address)
+        former = self._id_by_address.get(peer.address)
         if former is not None:
-            # Another run at the same address: that one has ended.
+            # A new run at the same address shows that the former has ended.
             self._remove(self._peers[former])
         self._peers[peer.beat.proxy] = peer
-        self._at[peer.address] = peer.beat.proxy
+        self._id_by_address[peer.address] = peer.beat.proxy
         self._index(peer)
-        self._note_newest(peer, now)
+        self._record_newest(peer, now)
 
     def _remove(self, peer: Peer) -> None:
         proxy = peer.beat.proxy
         del self._peers[proxy]
-        if self._at.get(peer.address) == proxy:
-            del self._at[peer.address]
+        if self._id_by_address.get(peer.address) == proxy:
+            del self._id_by_address[peer.address]
         for serving in self._serving.values():
             serving.pop(proxy, None)
 
@@ -198,8 +209,8 @@
         self._index(peer)
 
     def _index(self, peer: Peer) -> None:
-        for said in peer.beat.opinions:
-            serving = self._serving.setdefault(said.key, {})
+        for opinion in peer.beat.opinions:
+            serving = self._serving.setdefault(opinion.key, {})
             serving[peer.beat.proxy] = peer
 
     def _refresh(
@@ -207,26 +218,26 @@
     ) -> None:
         peer.heard_at = at
         peer.relayed = relayed
-        self._note_newest(peer, now)
+        self._record_newest(peer, now)
 
-    def _note_newest(self, peer: Peer, now: float) -> None:
+    def _record_newest(self, peer: Peer, now: float) -> None:
         domain = peer.beat.domain
-        if peer.heard_at > self._newest.get(domain, float('-inf')):
-            self._newest[domain] = peer.heard_at
-            self._news_at[domain] = now
+        if peer.heard_at > self._newest_sent_at.get(domain, float('-inf')):
+            self._newest_sent_at[domain] = peer.heard_at
+            self._newest_received_at[domain] = now
 
-    # What is known --------------------------------------------------------
+    # Queries --------------------------------------------------------------
 
     def get(self, proxy: str) -> Peer | None:
-        """Give what is known of a proxy."""
+        """Return the peer with this proxy id, None if it is not known."""
         return self._peers.get(proxy)
 
     def known(self) -> list[Peer]:
-        """Give every peer that was heard and not forgotten since."""
+        """Return all peers, alive or not, that were not removed."""
         return list(self._peers.values())
 
     def alive(self, now: float) -> list[Peer]:
-        """Give the peers heard lately."""
+        """Return the peers that are alive."""
         direct, relayed = now - self._alive_s, now - self._relayed_s
         return [
             peer
@@ -235,7 +246,7 @@
         ]
 
     def serving(self, key: messages.GroupKey, now: float) -> list[Peer]:
-        """Give the peers heard lately that serve a group themselves."""
+        """Return the alive peers that serve a group themselves."""
         direct, relayed = now - self._alive_s, now - self._relayed_s
         return [
             peer
@@ -244,30 +255,39 @@
         ]
 
     def silent_domains(self, oldest: float) -> frozenset[str]:
-        """Give the domains of which there was no news since ``oldest``.
+        """Return the domains without a newer heartbeat since ``oldest``.
 
-        Heartbeats that come through relays are old when they come, and as
-        they keep coming nobody is cut off.
+        The time of receipt counts, not that of sending: relayed heartbeats
+        are old on arrival, but a domain is not cut off while they arrive.
         """
         return frozenset(
-            name for name, at in self._news_at.items() if at < oldest
+            name
+            for name, at in self._newest_received_at.items()
+            if at < oldest
         )
 
     def heard_since(self, proxy: str, at: float) -> bool:
-        """Tell whether a heartbeat of a proxy was sent after a moment.
+        """Return whether a proxy sent a heartbeat after the time ``at``.
 
-        It holds for one that was never heard: it may just have started.
+        True also for an unknown proxy, since it may just have started.
         """
         peer = self._peers.get(proxy)
         return peer is None or peer.heard_at > at
 
     def news_outside(self, domain: str) -> float | None:
-        """Give when there was last news of another failure domain."""
-        newest = [at for name, at in self._news_at.items() if name != domain]
+        """Return when a newer heartbeat of another domain last arrived.
+
+        None if none ever arrived. ``domain`` is the own failure domain.
+        """
+        newest = [
+            at
+            for name, at in self._newest_received_at.items()
+            if name != domain
+        ]
         return max(newest, default=None)
 
     def address_of(self, proxy: str) -> _links.Address | None:
-        """Give where a proxy that was heard or is listed can be reached."""
+        """Return the address of a known or listed proxy, None if neither."""
         peer = self._peers.get(proxy)
         if peer is not None:
             return peer.address
@@ -277,7 +297,10 @@
         return None
 
     def domain_of(self, proxy: str) -> str:
-        """Give the domain of a proxy that was heard or is listed."""
+        """Return the failure domain of a known or listed proxy.
+
+        Empty for any other proxy.
+        """
         peer = self._peers.get(proxy)
         if peer is not None:
             return peer.beat.domain
@@ -287,11 +310,11 @@
         return ''
 
     def addresses(self) -> set[_links.Address]:
-        """Give the addresses that were heard of or are listed."""
-        return self._listed.keys() | self._at.keys()
+        """Return the addresses of all known or listed proxies."""
+        return self._listed.keys() | self._id_by_address.keys()
 
     def listed(self, domain: str) -> list[_links.Address]:
-        """Give the addresses that are listed in a failure domain."""
+        """Return the addresses that the platform lists in a failure domain."""
         return [
             address
             for address, listed in self._listed.items()
@@ -299,10 +322,10 @@
         ]
 
     def candidates(self, now: float) -> dict[str, set[str]]:
-        """Give the proxies that may take over work, by domain.
+        """Return the proxies that may take over work, by failure domain.
 
-        Those that were listed just now count, unless another run at their
-        address was heard: they may be starting.
+        Proxies that were listed recently count, since they may be starting,
+        unless another run at their address has sent a heartbeat.
         """
         found: dict[str, set[str]] = {}
         for peer in self.alive(now):
@@ -313,33 +336,33 @@
         return found
 
     def starting(self, now: float) -> set[str]:
-        """Give the proxies that were listed just now and not yet heard."""
+        """Return the proxies listed recently and not heard yet."""
         return {vm.id for vm in self._starting(now)}
 
     def starting_domains(self, now: float) -> list[str]:
-        """Give the domain of each of those, one by one."""
+        """Return the failure domain of each starting proxy."""
         return [vm.domain for vm in self._starting(now)]
 
     def _starting(self, now: float) -> Iterator[ports.Vm]:
         for address, listed in self._listed.items():
             recent = now - listed.since < self._alive_s
-            if recent and address not in self._at:
+            if recent and address not in self._id_by_address:
                 yield listed.vm
 
     def domains(self) -> frozenset[str]:
-        """Give the failure domains that are named anywhere."""
+        """Return the failure domains of all known or listed proxies."""
         listed = {listed.vm.domain for listed in self._listed.values()}
-        return frozenset(self._newest.keys() | listed)
+        return frozenset(self._newest_sent_at.keys() | listed)
 
 
-def _note_config(peer: Peer, age: float | None, at: float) -> None:
+def _record_config(peer: Peer, age: float | None, at: float) -> None:
     if age is not None:
         peer.config_seen_at = max(peer.config_seen_at, at - age)
 
 
 def revisions_of(peers: Iterable[Peer]) -> int:
-    """Join the revisions of heartbeats, so that their order is no matter."""
-    joined = 0
+    """Return the exclusive or of heartbeat revisions, in any order."""
+    combined = 0
     for peer in peers:
-        joined ^= peer.revision
-    return joined
+        combined ^= peer.revision
+    return combined
--- a/src/tidegrade/daemon/_row_keeper.py
+++ b/src/tidegrade/daemon/_row_keeper.py
@@ -1,9 +1,10 @@
-"""Reading a group's row from a table that may have lost the newest one.
+"""Reads of a group's row that detect and repair a lost newer version.
 
-The table may come back from a copy some seconds old. The proxies still know
-the row that it lost, and one of them writes it again. Until then nobody acts
-on the older one: before, each change of the primary was abandoned, without
-end, since the row that was read was not the one that was known.
+The platform may restore its table from a copy that is some seconds old. The
+proxies still know the newer row that the table lost, and one of them writes
+it again. Until then reads fail, so no proxy acts on the stale row. Otherwise
+each change of the primary would be abandoned, without end, since the row that
+was read differs from the row that is known.
 """
 
 from collections.abc import Callable
@@ -16,37 +17,38 @@
 from tidegrade import logs
 from tidegrade import ports
 
-#: Readings that another proxy is given to write a lost row again: with the
-#: pause after a failed reading, about one and a half seconds.
-GIVEN_TO_OTHERS = 3
+#: Number of failed reads for which a proxy waits for the first proxy in turn
+#: to restore the row: with the pause after a failed read, about 1.5 s.
+READS_BEFORE_TAKEOVER = 3
 
 
 class RowTable(typing.Protocol):
-    """What a group needs of the platform's table."""
+    """The operations of the platform's table that a group uses."""
 
     @property
     def generation(self) -> int:
-        """Give how often the table came back from an older copy."""
+        """The number of restores of the table from an older copy."""
 
     async def read(
         self, key: str
     ) -> result.Result[ports.Versioned | None, str]:
-        """Give a row, None if there is none, or why it can't be read."""
+        """Return a row, None if it is absent, or the reason of a failure."""
 
     async def write(
         self, key: str, value: bytes, expected: str | None
     ) -> result.Result[str, ports.WriteProblem]:
-        """Write a row if its tag is ``expected`` (None: it is absent)."""
+        """Write a row if its tag is ``expected``, None for an absent row."""
 
     async def scan(self, prefix: str) -> result.Result[dict[str, bytes], str]:
-        """Give the rows whose keys begin with ``prefix``."""
+        """Return the rows whose keys begin with ``prefix``."""
 
 
 class RowKeeper:
-    """Reads one row, and writes it again where it was lost.
+    """Reads one row, and restores it if the table holds an older one.
 
-    ``newest`` gives the newest row that this proxy knows, ``in_turn`` tells
-    whether it is the first of those that serve the group.
+    ``newest`` returns the newest row that this proxy knows. ``in_turn``
+    returns whether this proxy is the first in turn of those that serve the
+    group; that proxy restores the row.
     """
 
     def __init__(
@@ -58,25 +60,33 @@
     ) -> None:
         self._key = key
         self._table = table
-        self._newest = newest
-        self._in_turn = in_turn
-        self._left_to_others = 0
+        self._newest_known = newest
+        self._is_in_turn = in_turn
+        self._reads_waited = 0
 
     async def read(self) -> result.Result[ports.Versioned | None, str]:
-        """Give the row, never one older than was known before the reading."""
-        known = self._newest()
+        """Return the row, never one older than was known before the read.
+
+        Fails if the table can't be read, or while it holds an older row.
+        """
+        known = self._newest_known()
         answer = await self._table.read(self._key)
         if answer.is_err() or known is None:
             return answer
         found = answer.unwrap()
         found_term = _term_if_older(found, known)
         if found_term is None:
-            self._left_to_others = 0
+            self._reads_waited = 0
             return answer
-        if not self._in_turn() and self._left_to_others < GIVEN_TO_OTHERS:
-            self._left_to_others += 1
-            return result.Err('the row was lost; another proxy writes it')
-        written = await self._write(known, found)
+        if (
+            not self._is_in_turn()
+            and self._reads_waited < READS_BEFORE_TAKEOVER
+        ):
+            self._reads_waited += 1
+            return result.Err(
+                'the table lost the newest row; another proxy restores it'
+            )
+        written = await self._restore(known, found)
         logs.write(
             logs.LogEvent.ROW_RESTORED,
             row=self._key,
@@ -85,10 +95,12 @@
             written=written,
         )
         if not written:
-            return result.Err('the row was lost and is not written yet')
+            return result.Err(
+                'the table lost the newest row; restoring it failed'
+            )
         return await self._table.read(self._key)
 
-    async def _write(
+    async def _restore(
         self, known: core.GroupRow, found: ports.Versioned | None
     ) -> bool:
         tag = found.tag if found is not None else None
@@ -99,9 +111,10 @@
 def _term_if_older(
     found: ports.Versioned | None, known: core.GroupRow
 ) -> int | None:
-    """Give the term of a row that is older than another; 0 without one.
+    """Return the term of ``found`` if it is older than ``known``.
 
-    None if it is not older, or can't be read.
+    Returns 0 if there is no row, and None if it is not older or can't be
+    decoded.
     """
     if found is None:
         return 0
--- a/src/tidegrade/daemon/_row_task.py
+++ b/src/tidegrade/daemon/_row_task.py
@@ -1,4 +1,4 @@
-"""The task that reads and writes one group's row in the platform."""
+"""The task that reads and writes one group's row in the platform's table."""
 
 from collections.abc import Callable
 
@@ -12,24 +12,32 @@
 from tidegrade import logs
 from tidegrade import ports
 
-#: Shortest pause between reads that were asked for, in seconds.
-MIN_READ_INTERVAL = 0.05
-#: Longest such pause, after reads that found nothing new, in seconds:
-#: whoever changes a row also tells the others. While a term changes, every
-#: report asks for the row; 195 proxies made 2,700 reads a second so.
-MAX_READ_INTERVAL = 0.4
-#: Pause before a read that was asked for is repeated, in seconds, after
-#: the platform did not answer: calls are billed, also those it refuses.
-RETRY_PAUSE = 0.5
-#: Reads that may tell what became of a write without an answer.
+#: Shortest pause between requested reads, in seconds.
+MIN_READ_PAUSE_S = 0.05
+#: Longest pause between requested reads, in seconds; reads that find no change
+#: extend the pause up to it. The delay is harmless, since a proxy that changes
+#: a row also announces it. During a change of term every report of an endpoint
+#: requests the row: 195 proxies made 2,700 reads per second without this
+#: backoff.
+MAX_READ_PAUSE_S = 0.4
+#: Pause before a failed read is retried, in seconds: the platform also bills
+#: calls that it refuses.
+RETRY_PAUSE_S = 0.5
+#: Number of reads, and pause before each in seconds, that find out whether a
+#: write without an answer took effect.
 SETTLE_READS = 5
-SETTLE_PAUSE = 0.1
+SETTLE_PAUSE_S = 0.1
 
 Post = Callable[[core.Event | supervision.SupervisorEvent], None]
 
 
 class RowTask:
-    """Carries out what concerns the row, one operation after another."""
+    """Reads the row as needed, and executes a supervisor's operations in turn.
+
+    While ``serving`` returns True the row is read every ``interval`` seconds
+    even without a request. ``newest`` returns the newest row that this proxy
+    knows, and ``in_turn`` whether it restores the row if the table lost it.
+    """
 
     def __init__(
         self,
@@ -47,60 +55,62 @@
         self._serving = serving
         self._key = key
         self._table = table
-        self._keeper = _row_keeper.RowKeeper(key, table, newest, in_turn)
+        self._reader = _row_keeper.RowKeeper(key, table, newest, in_turn)
         self._post = post
-        self._wanted = anyio.Event()
-        #: As it was read last.
-        self._known: core.GroupRow | None = None
-        self._send, self._orders = anyio.create_memory_object_stream[
-            supervision.SupervisorCommand
-        ](64)
+        self._read_requested = anyio.Event()
+        #: The row as it was last read.
+        self._last_read: core.GroupRow | None = None
+        self._operation_sender, self._operations = (
+            anyio.create_memory_object_stream[supervision.SupervisorCommand](
+                64
+            )
+        )
 
     async def run(self) -> None:
-        """Run until cancelled."""
+        """Read the row and execute operations until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._keep_reading)
-            async for order in self._orders:
-                await self._carry_out(order)
+            async for order in self._operations:
+                await self._execute(order)
 
     def fetch(self) -> None:
-        """Have the row read soon; many requests cause one read."""
-        self._wanted.set()
+        """Request a read of the row; concurrent requests share one read."""
+        self._read_requested.set()
 
     def order(self, command: supervision.SupervisorCommand) -> None:
-        """Have a supervisor's operation carried out."""
-        self._send.send_nowait(command)
+        """Queue an operation of the supervisor."""
+        self._operation_sender.send_nowait(command)
 
     async def _keep_reading(self) -> None:
-        pause = MIN_READ_INTERVAL
+        pause = MIN_READ_PAUSE_S
         while True:
-            asked = self._wanted.is_set()
-            if asked or self._serving():
-                self._wanted = anyio.Event()
-                known = self._known
-                answered = await self._look()
-                pause = min(2 * pause, MAX_READ_INTERVAL)
-                if self._known != known or not asked:
-                    pause = MIN_READ_INTERVAL
-                if asked and not answered:
-                    # Whoever asked still needs it.
-                    self._wanted.set()
-                    await anyio.sleep(RETRY_PAUSE)
+            requested = self._read_requested.is_set()
+            if requested or self._serving():
+                self._read_requested = anyio.Event()
+                known = self._last_read
+                answered = await self._read_and_post()
+                pause = min(2 * pause, MAX_READ_PAUSE_S)
+                if self._last_read != known or not requested:
+                    pause = MIN_READ_PAUSE_S
+                if requested and not answered:
+                    # The request is still open.
+                    self._read_requested.set()
+                    await anyio.sleep(RETRY_PAUSE_S)
             await anyio.sleep(pause)
             with anyio.move_on_after(self._interval):
-                await self._wanted.wait()
+                await self._read_requested.wait()
 
-    async def _look(self) -> bool:
-        """Read the row; tell whether the platform answered."""
-        asked_at = self._now()
-        answer = await self._keeper.read()
-        row = self._decoded(answer)
+    async def _read_and_post(self) -> bool:
+        """Read the row, and return whether the read succeeded."""
+        requested_at = self._now()
+        answer = await self._reader.read()
+        row = self._decode(answer)
         if row is not None:
-            self._known = row[0]
-            self._post(core.RowSeen(row[0], asked_at))
+            self._last_read = row[0]
+            self._post(core.RowSeen(row[0], requested_at))
         return answer.is_ok()
 
-    async def _carry_out(self, order: supervision.SupervisorCommand) -> None:
+    async def _execute(self, order: supervision.SupervisorCommand) -> None:
         if isinstance(order, supervision.ReadRow):
             await self._read_for_supervisor()
         elif isinstance(order, supervision.WriteRow):
@@ -109,12 +119,12 @@
             await self._list_holders()
 
     async def _read(self) -> tuple[core.GroupRow, str] | None:
-        return self._decoded(await self._table.read(self._key))
+        return self._decode(await self._table.read(self._key))
 
-    def _decoded(
+    def _decode(
         self, answer: result.Result[ports.Versioned | None, str]
     ) -> tuple[core.GroupRow, str] | None:
-        """Give the row and its tag, if there is a readable one."""
+        """Return the row and its tag, None if absent or malformed."""
         found = answer.unwrap_or(None)
         if found is None:
             return None
@@ -129,7 +139,7 @@
         return row.unwrap(), found.tag
 
     async def _read_for_supervisor(self) -> None:
-        answer = await self._keeper.read()
+        answer = await self._reader.read()
         if answer.is_err():
             self._post(supervision.RowLost())
             return
@@ -159,9 +169,12 @@
             self.fetch()
 
     async def _settle(self, order: supervision.WriteRow) -> None:
-        """Find out by the attempt's own id if a lost write took effect."""
+        """Find out whether a write without an answer took effect.
+
+        The id of the attempt in the row identifies the write.
+        """
         for _ in range(SETTLE_READS):
-            await anyio.sleep(SETTLE_PAUSE)
+            await anyio.sleep(SETTLE_PAUSE_S)
             found = await self._read()
             if found is None:
                 continue
@@ -177,15 +190,15 @@
         if listed.is_err():
             self._post(supervision.RowLost())
             return
-        holders = map(_holder, listed.unwrap().items())
+        holders = map(_registered_proxy, listed.unwrap().items())
         self._post(supervision.HoldersListed(frozenset(holders)))
 
 
-def _holder(row: tuple[str, bytes]) -> str:
-    """Give the proxy that a row registers.
+def _registered_proxy(row: tuple[str, bytes]) -> str:
+    """Return the id of the proxy that a row registers.
 
-    One that can't be read is taken for somebody who never answers, which
-    costs time and nothing else.
+    For a malformed row it is the key of the row. The supervisor treats it as
+    a proxy that never answers, which delays it and has no other effect.
     """
     key, value = row
     entry = _rows.decode_registered(value)
--- a/src/tidegrade/daemon/_spread.py
+++ b/src/tidegrade/daemon/_spread.py
@@ -1,14 +1,16 @@
-"""Spreading heartbeats without every proxy sending to every other.
-
-Few proxies send to all others directly. Where there are many, each failure
-domain has relays: every proxy sends its heartbeat to the relays of its own
-domain, these tell each other, and each tells its domain. A heartbeat takes
-up to two more intervals that way, but what others must know at once, such
-as that a primary seems down, is passed on without waiting.
-
-Of proxies that have nothing new to say a relay gives one number a domain.
-Whoever comes to another number twice asks for their heartbeats, so that
-little is sent where nothing changes.
+"""Gossip of heartbeats among proxies.
+
+A small deployment uses a full mesh: each proxy sends its heartbeat to all
+others. In a larger one each failure domain has relays. Every proxy sends its
+heartbeat to the relays of its own domain, relays exchange digests with the
+relays of other domains, and each relay forwards digests to its own domain.
+A heartbeat takes up to two more intervals on this path. Urgent changes, such
+as an opinion that a primary is down, are forwarded without that delay.
+
+For unchanged heartbeats a digest holds one checksum per failure domain
+instead of the heartbeats. A proxy that computes another checksum for two
+digests in a row pulls the heartbeats of that domain (anti-entropy), so
+traffic stays low while nothing changes.
 """
 
 import random
@@ -23,48 +25,54 @@
 from tidegrade.peers import _messages as messages
 from tidegrade import ports
 
-#: Up to so many other proxies, each sends to all of them: the messages of
-#: all proxies together grow with the square of their number.
+#: With fewer other proxies than this, the proxies form a full mesh. The
+#: messages of a mesh grow with the square of the number of proxies.
 MESH_SIZE = 12
-#: Relays of a failure domain; the second covers the loss of the first.
+#: Number of relays per failure domain; the second covers the loss of the
+#: first.
 RELAYS = 2
-#: How long a changed heartbeat goes out in full, in seconds: two digests,
-#: so that one may be lost; who missed both asks.
-NEWS_FOR = 1.0
-#: A proxy that was not heard for this long is named by itself in digests,
-#: in seconds: two intervals, so that its age makes nobody else look old.
-FRESH = 1.0
-#: The same for one that is heard through relays, whose digests add up to
-#: an interval each. Without it most would be named each time.
-RELAYED_FRESH = 1.8
-#: It is no longer named after this, in seconds: by then nobody takes it
-#: for alive any more.
-NAMED_FOR = 6.0
-#: A proxy that was asked to pass heartbeats on does so for this long, in
-#: seconds: views differ while proxies start, and whoever is asked must not
-#: leave it to others.
-ASKED_FOR = 2.0
-#: How long a relay waits for more urgent news before it passes them on,
-#: in seconds: changes of many proxies have one cause and come together.
-URGENT_PAUSE = 0.02
-#: Least pause between two questions to a proxy for the heartbeats of one
-#: domain, in seconds: about the pause between its digests, twice.
-ASK_PAUSE = 1.0
-#: Silence after which a proxy that was asked for the heartbeats of a
-#: domain is given up, in seconds.
-ASK_LIMIT = 0.5
+#: Time for which digests hold a changed heartbeat in full, in seconds: two
+#: digests, so that one may be lost. A proxy that missed both pulls it.
+FULL_HEARTBEAT_S = 1.0
+#: Age from which a heartbeat received directly gets an entry of its own in
+#: digests, in seconds: two intervals. The checksum of a domain carries the
+#: greatest age among its proxies, so an old heartbeat would make all others
+#: look old.
+DIRECT_FRESH_S = 1.0
+#: The same for a heartbeat received through relays, in seconds. Each relay
+#: adds up to one interval; with the limit for direct heartbeats most proxies
+#: would get an entry in each digest.
+RELAYED_FRESH_S = 1.8
+#: Age from which digests leave a heartbeat out, in seconds: by then no proxy
+#: counts its sender as alive.
+DIGEST_AGE_LIMIT_S = 6.0
+#: Time for which a proxy acts as a relay after it received a heartbeat to
+#: pass on, in seconds. While proxies start, their views of the relays differ,
+#: and a heartbeat sent to a proxy that does not relay would be lost.
+RELAY_DUTY_S = 2.0
+#: Time for which a relay collects urgent changes before it forwards them, in
+#: seconds: many proxies change for one cause at about the same time.
+URGENT_DELAY_S = 0.02
+#: Shortest interval between pulls of one domain's heartbeats from the same
+#: proxy, in seconds: about twice the interval between its digests.
+PULL_INTERVAL_S = 1.0
+#: Silence after which a pull fails, in seconds.
+PULL_TIMEOUT_S = 0.5
 
 
 @attrs.frozen
-class _Question:
-    """Whom to ask for the heartbeats of which failure domain."""
+class _Pull:
+    """A pull of the heartbeats of ``domain`` from ``proxy``."""
 
     proxy: str
     domain: str
 
 
 class Spread:
-    """Decides to whom heartbeats go, and passes on those of others."""
+    """Sends this proxy's heartbeat and forwards those of other proxies.
+
+    It chooses the recipients, and pulls heartbeats that are missing here.
+    """
 
     def __init__(
         self,
@@ -74,161 +82,172 @@
         clock: ports.Clock,
         rng: random.Random,
     ) -> None:
-        self._spot = spot
+        self._identity = spot
         self._roster = roster
         self._links = links
         self._clock = clock
         self._rng = rng
-        self._asked_at = float('-inf')
-        self._own: messages.Heartbeat | None = None
+        self._relay_requested_at = float('-inf')
+        self._own_beat: messages.Heartbeat | None = None
         self._own_revision = 0
         self._own_changed_at = float('-inf')
-        self._urgent: dict[str, messages.AgedHeartbeat] = {}
-        self._questions: set[_Question] = set()
-        self._asked: dict[_Question, float] = {}
-        #: What the last digest said otherwise than what is known here.
-        self._differed: set[_Question] = set()
-        self._wanted = anyio.Event()
+        self._urgent_changes: dict[str, messages.AgedHeartbeat] = {}
+        self._scheduled_pulls: set[_Pull] = set()
+        self._pulled_at: dict[_Pull, float] = {}
+        #: Pulls for which the last digest's checksum did not match. A pull is
+        #: scheduled when the next one does not match either.
+        self._mismatched: set[_Pull] = set()
+        self._wakeup = anyio.Event()
 
     async def run(self) -> None:
-        """Pass urgent news on, and ask for what is missing."""
+        """Forward urgent changes and run scheduled pulls until cancelled."""
         async with anyio.create_task_group() as tasks:
             while True:
-                await self._wanted.wait()
-                await anyio.sleep(URGENT_PAUSE)
-                self._wanted = anyio.Event()
+                await self._wakeup.wait()
+                await anyio.sleep(URGENT_DELAY_S)
+                self._wakeup = anyio.Event()
                 self.flush()
-                for question in self.questions():
-                    tasks.start_soon(self._ask, question)
+                for pull in self.questions():
+                    tasks.start_soon(self._pull, pull)
 
     def flush(self) -> None:
-        """Pass on what others must hear at once."""
-        news, self._urgent = tuple(self._urgent.values()), {}
+        """Forward the urgent changes collected since the last call."""
+        news, self._urgent_changes = tuple(self._urgent_changes.values()), {}
         if not news:
             return
-        self._send_inside(messages.Digest(news))
-        inside = [n for n in news if n.beat.domain == self._spot.domain]
+        self._send_within_domain(messages.Digest(news))
+        inside = [n for n in news if n.beat.domain == self._identity.domain]
         if inside:
-            self._send_outside(messages.Digest(tuple(inside)))
+            self._send_to_other_domains(messages.Digest(tuple(inside)))
 
     # Sending --------------------------------------------------------------
 
     def send(self, beat: messages.Heartbeat) -> None:
-        """Send this proxy's own heartbeat."""
-        self._note_own(beat)
-        if self._is_small():
+        """Send this proxy's own heartbeat to all proxies or to its relays."""
+        self._update_own(beat)
+        if self._uses_mesh():
             for address in self._roster.addresses():
                 self._links.post(address, beat)
             return
-        asking = attrs.evolve(beat, pass_on=True)
-        for proxy in self.relays(self._spot.domain):
-            self._post(proxy, asking)
+        to_relay = attrs.evolve(beat, pass_on=True)
+        for proxy in self.relays(self._identity.domain):
+            self._post(proxy, to_relay)
 
-    def _note_own(self, beat: messages.Heartbeat) -> None:
-        if beat == self._own:
+    def _update_own(self, beat: messages.Heartbeat) -> None:
+        if beat == self._own_beat:
             return
         revision = beat.revision()
         if revision != self._own_revision:
             self._own_changed_at = self._clock.now()
-        self._own, self._own_revision = beat, revision
+        self._own_beat, self._own_revision = beat, revision
 
     def send_digest(self, own: messages.Heartbeat) -> None:
-        """Tell the others what was heard, if this proxy is a relay.
+        """Send digests, if this proxy is a relay.
 
-        Each relay tells one of another domain: the bytes between domains
-        are billed, and its other relay is told by another of this one.
+        Each relay sends to one relay of each other domain, since traffic
+        between domains is billed. The second relay there gets its digest from
+        the second relay of this domain.
         """
         if not self.is_relay():
             return
-        self._note_own(own)
-        domains = self._roster.domains() | {self._spot.domain}
-        self._send_inside(self._digest(domains, own))
-        # Named in full: who has never heard of it could not ask it back,
-        # and two domains that start anew would stay deaf to each other.
-        outside = self._digest({self._spot.domain}, own, introduces=True)
-        turn = self._turn()
-        for domain in domains - {self._spot.domain}:
+        self._update_own(own)
+        domains = self._roster.domains() | {self._identity.domain}
+        self._send_within_domain(self._digest(domains, own))
+        # Holds this proxy's heartbeat in full: a recipient that does not know
+        # this proxy has no address to pull from, and two domains that restart
+        # together would never learn of each other.
+        outside = self._digest({self._identity.domain}, own, own_in_full=True)
+        own_place = self._relay_index()
+        for domain in domains - {self._identity.domain}:
             relays = self.relays(domain)
             if relays:
-                self._post(relays[turn % len(relays)], outside)
+                self._post(relays[own_place % len(relays)], outside)
             else:
-                self._try_listed(domain, outside)
+                self._send_to_listed(domain, outside)
 
-    def _turn(self) -> int:
-        """Give this proxy's place among the relays of its domain."""
-        relays = self.relays(self._spot.domain)
-        if self._spot.proxy not in relays:
+    def _relay_index(self) -> int:
+        """Return this proxy's index among the relays of its domain.
+
+        It is 0 for a proxy that relays only because others chose it.
+        """
+        relays = self.relays(self._identity.domain)
+        if self._identity.proxy not in relays:
             return 0
-        return relays.index(self._spot.proxy)
+        return relays.index(self._identity.proxy)
 
     def announce(self, body: messages.Announcement) -> None:
-        """Have all proxies told."""
-        if self._is_small():
+        """Send a message to all proxies, directly or through the relays."""
+        if self._uses_mesh():
             for address in self._roster.addresses():
                 self._links.post(address, body)
             return
-        asking = attrs.evolve(body, pass_on=True)
-        self._send_outside(asking)
-        for proxy in self.relays(self._spot.domain):
-            self._post(proxy, asking)
+        to_relay = attrs.evolve(body, pass_on=True)
+        self._send_to_other_domains(to_relay)
+        for proxy in self.relays(self._identity.domain):
+            self._post(proxy, to_relay)
 
     def pass_on(self, body: messages.Announcement) -> None:
-        """Tell the other proxies of this failure domain."""
-        self._send_inside(attrs.evolve(body, pass_on=False))
+        """Forward a message to the other proxies of this failure domain."""
+        self._send_within_domain(attrs.evolve(body, pass_on=False))
 
     def _digest(
         self,
         domains: frozenset[str] | set[str],
         own: messages.Heartbeat,
-        introduces: bool = False,
+        own_in_full: bool = False,
     ) -> messages.Digest:
-        """Give what is known of domains; own news if it ``introduces``."""
+        """Return a digest of the heartbeats known of ``domains``.
+
+        With ``own_in_full`` it holds ``own``, this proxy's heartbeat, in full.
+        """
         now = self._clock.now()
         news = []
         alive = []
-        rolls = {domain: _RollCall(domain) for domain in sorted(domains)}
-        if introduces or now - self._own_changed_at < NEWS_FOR:
+        builders = {
+            domain: _SummaryBuilder(domain) for domain in sorted(domains)
+        }
+        if own_in_full or now - self._own_changed_at < FULL_HEARTBEAT_S:
             news.append(messages.AgedHeartbeat(own, 0.0))
         else:
-            rolls[self._spot.domain].add(self._own_revision, 0.0)
+            builders[self._identity.domain].add(self._own_revision, 0.0)
         for peer in self._roster.known():
             age = max(0.0, now - peer.heard_at)
-            if age > NAMED_FOR or peer.beat.domain not in domains:
+            if age > DIGEST_AGE_LIMIT_S or peer.beat.domain not in domains:
                 continue
-            if now - peer.changed_at < NEWS_FOR:
+            if now - peer.changed_at < FULL_HEARTBEAT_S:
                 news.append(messages.AgedHeartbeat(peer.beat, age))
-            elif age > (RELAYED_FRESH if peer.relayed else FRESH):
+            elif age > (RELAYED_FRESH_S if peer.relayed else DIRECT_FRESH_S):
                 alive.append(
                     messages.AliveProxy(peer.beat.proxy, age, peer.revision)
                 )
             else:
-                rolls[peer.beat.domain].add(peer.revision, age)
+                builders[peer.beat.domain].add(peer.revision, age)
         return messages.Digest(
             tuple(news),
             tuple(alive),
-            tuple(roll.closed() for roll in rolls.values() if roll.count),
-            self._spot.proxy,
+            tuple(b.build() for b in builders.values() if b.count),
+            self._identity.proxy,
             own.config_version,
             own.config_age,
         )
 
-    def _send_inside(self, body: messages.PeerBody) -> None:
+    def _send_within_domain(self, body: messages.PeerBody) -> None:
         """Send to the other proxies of this failure domain."""
         for peer in self._roster.alive(self._clock.now()):
-            if peer.beat.domain == self._spot.domain:
+            if peer.beat.domain == self._identity.domain:
                 self._links.post(peer.address, body)
 
-    def _send_outside(self, body: messages.PeerBody) -> None:
+    def _send_to_other_domains(self, body: messages.PeerBody) -> None:
         """Send to the relays of the other failure domains."""
-        for domain in self._roster.domains() - {self._spot.domain}:
+        for domain in self._roster.domains() - {self._identity.domain}:
             relays = self.relays(domain)
             for proxy in relays:
                 self._post(proxy, body)
             if not relays:
-                self._try_listed(domain, body)
+                self._send_to_listed(domain, body)
 
-    def _try_listed(self, domain: str, body: messages.PeerBody) -> None:
-        """Send to some of a domain where none is known to live."""
+    def _send_to_listed(self, domain: str, body: messages.PeerBody) -> None:
+        """Send to some listed addresses of a domain without a known relay."""
         listed = self._roster.listed(domain)
         few = min(RELAYS, len(listed))
         for address in self._rng.sample(listed, few):
@@ -242,52 +261,54 @@
     # Receiving ------------------------------------------------------------
 
     def heard(self, beat: messages.Heartbeat) -> None:
-        """Take in a heartbeat that its proxy sent to this one."""
+        """Store a heartbeat received directly from its proxy."""
         now = self._clock.now()
         if beat.pass_on:
-            self._asked_at = now
+            self._relay_requested_at = now
             beat = attrs.evolve(beat, pass_on=False)
-        elif not self._is_small() and not self.is_relay():
-            # It doesn't know the relays yet, and others don't know it.
+        elif not self._uses_mesh() and not self.is_relay():
+            # The sender does not know the relays yet, nor they the sender.
             address = _links.Address(beat.host, beat.port)
-            self._introduce(beat.domain, address)
-        self._take(messages.AgedHeartbeat(beat, 0.0), now, False)
+            self._send_relays(beat.domain, address)
+        self._store(messages.AgedHeartbeat(beat, 0.0), now, False)
 
     def heard_digest(self, digest: messages.Digest) -> None:
-        """Take in what another proxy has heard."""
+        """Store what a digest holds, and schedule a pull if it differs."""
         now = self._clock.now()
         for aged in digest.news:
-            self._take(aged, now, aged.beat.proxy != digest.sender)
+            self._store(aged, now, aged.beat.proxy != digest.sender)
         for entry in digest.alive:
             at = now - entry.age
             self._roster.refreshed(entry.proxy, entry.revision, at, now)
         self._roster.has_config(
             digest.sender, digest.config_version, digest.config_age, now
         )
-        self._answer_stranger(digest)
+        self._introduce_own_relays(digest)
         named = digest.named()
         for roll in digest.rolls:
-            own = self._own_revision if self._counts_in(roll, named) else 0
-            question = _Question(digest.sender, roll.domain)
+            own = self._own_revision if self._is_counted_in(roll, named) else 0
+            pull = _Pull(digest.sender, roll.domain)
             if self._roster.roll_called(roll, named, own, now):
-                self._differed.discard(question)
-            elif question in self._differed:
-                self._want(question, now)
+                self._mismatched.discard(pull)
+            elif pull in self._mismatched:
+                self._schedule_pull(pull, now)
             else:
-                # The other relay may just have told what this one will.
-                self._differed.add(question)
+                # The first mismatch may only be a race: this proxy may have
+                # got a change from another relay before this one forwards it.
+                self._mismatched.add(pull)
 
-    def domain_digest(self, question: messages.AskDomain) -> messages.Digest:
-        """Give the heartbeats of a failure domain that the other lacks.
+    def domain_digest(self, request: messages.AskDomain) -> messages.Digest:
+        """Return the heartbeats of a failure domain that the sender lacks.
 
-        Of those that it knows it is told that they live: with 40 proxies in
-        a domain and two of them new that is a quarter of the bytes.
+        For heartbeats that the sender has, the digest only states that their
+        proxies are alive. With 40 proxies in a domain, two of them new, this
+        takes a quarter of the bytes.
         """
         now = self._clock.now()
-        known = frozenset(question.known)
+        known = frozenset(request.known)
         news, alive = [], []
         for peer in self._roster.alive(now):
-            if peer.beat.domain != question.domain:
+            if peer.beat.domain != request.domain:
                 continue
             age = max(0.0, now - peer.heard_at)
             if peer.revision in known:
@@ -297,18 +318,20 @@
             else:
                 news.append(messages.AgedHeartbeat(peer.beat, age))
         return messages.Digest(
-            tuple(news), tuple(alive), sender=self._spot.proxy
+            tuple(news), tuple(alive), sender=self._identity.proxy
         )
 
-    def _counts_in(self, roll: messages.Roll, named: frozenset[str]) -> bool:
-        if roll.domain != self._spot.domain:
+    def _is_counted_in(
+        self, roll: messages.Roll, named: frozenset[str]
+    ) -> bool:
+        if roll.domain != self._identity.domain:
             return False
-        return self._spot.proxy not in named
+        return self._identity.proxy not in named
 
-    def _take(
+    def _store(
         self, aged: messages.AgedHeartbeat, at: float, relayed: bool
     ) -> None:
-        """Take in a heartbeat that was as old as it says at ``at``."""
+        """Store a heartbeat that had its stated age at the time ``at``."""
         beat = aged.beat
         known = self._roster.get(beat.proxy)
         before = known.beat.urgent() if known is not None else (False,)
@@ -318,22 +341,23 @@
         ):
             return
         if beat.urgent() != before and self.is_relay():
-            self._urgent[beat.proxy] = aged
-            self._wanted.set()
+            self._urgent_changes[beat.proxy] = aged
+            self._wakeup.set()
 
-    def _answer_stranger(self, digest: messages.Digest) -> None:
-        """Tell a relay elsewhere which are the relays here.
+    def _introduce_own_relays(self, digest: messages.Digest) -> None:
+        """Send the relays of this domain to a relay of another domain.
 
-        It sends to others only while it knows none, as after a cut.
+        That relay sends digests to other proxies only while it knows no relay
+        here, as after a network partition.
         """
-        if not digest.rolls or self._is_small() or self.is_relay():
+        if not digest.rolls or self._uses_mesh() or self.is_relay():
             return
         sender = self._roster.get(digest.sender)
-        if sender is not None and sender.beat.domain != self._spot.domain:
-            self._introduce(self._spot.domain, sender.address)
+        if sender is not None and sender.beat.domain != self._identity.domain:
+            self._send_relays(self._identity.domain, sender.address)
 
-    def _introduce(self, domain: str, to: _links.Address) -> None:
-        """Tell another proxy which are the relays of a domain."""
+    def _send_relays(self, domain: str, to: _links.Address) -> None:
+        """Send the heartbeats of a domain's relays to another proxy."""
         now = self._clock.now()
         peers = map(self._roster.get, self.relays(domain))
         news = tuple(
@@ -341,44 +365,49 @@
             for peer in peers
             if peer is not None
         )
-        self._links.post(to, messages.Digest(news, sender=self._spot.proxy))
+        self._links.post(
+            to, messages.Digest(news, sender=self._identity.proxy)
+        )
 
-    # Asking ---------------------------------------------------------------
+    # Pulling --------------------------------------------------------------
 
-    def _want(self, question: _Question, now: float) -> None:
-        asked_at = self._asked.get(question, float('-inf'))
-        if question.proxy and now - asked_at >= ASK_PAUSE:
-            self._asked[question] = now
+    def _schedule_pull(self, pull: _Pull, now: float) -> None:
+        pulled_at = self._pulled_at.get(pull, float('-inf'))
+        if pull.proxy and now - pulled_at >= PULL_INTERVAL_S:
+            self._pulled_at[pull] = now
             logs.write_bounded(
                 logs.LogEvent.DOMAIN_DIFFERS,
-                peer=question.proxy,
-                domain=question.domain,
+                peer=pull.proxy,
+                domain=pull.domain,
             )
-            self._questions.add(question)
-            self._wanted.set()
+            self._scheduled_pulls.add(pull)
+            self._wakeup.set()
 
-    def questions(self) -> list[_Question]:
-        """Give what is to be asked now; each is given once."""
-        questions, self._questions = self._questions, set()
-        return list(questions)
+    def questions(self) -> list[_Pull]:
+        """Return the scheduled pulls and clear them."""
+        pulls, self._scheduled_pulls = self._scheduled_pulls, set()
+        return list(pulls)
 
-    async def _ask(self, question: _Question) -> None:
-        address = self.address_of(question)
+    async def _pull(self, pull: _Pull) -> None:
+        address = self.address_of(pull)
         if address is None:
             return
-        asked_at = self._clock.now()
-        asked = await self._links.fetch(
-            address, self.question_about(question.domain), ASK_LIMIT
+        pulled_at = self._clock.now()
+        pulled = await self._links.fetch(
+            address, self.question_about(pull.domain), PULL_TIMEOUT_S
         )
-        if isinstance(asked.answer, messages.Digest):
-            self.heard_domain(asked.answer, asked_at)
+        if isinstance(pulled.answer, messages.Digest):
+            self.heard_domain(pulled.answer, pulled_at)
 
-    def address_of(self, question: _Question) -> _links.Address | None:
-        """Give where whoever is to be asked takes questions."""
-        return self._roster.address_of(question.proxy)
+    def address_of(self, pull: _Pull) -> _links.Address | None:
+        """Return the address to pull from, None if it is not known."""
+        return self._roster.address_of(pull.proxy)
 
     def question_about(self, domain: str) -> messages.AskDomain:
-        """Give the question for what is not known of a domain."""
+        """Return the message that pulls the heartbeats of a domain.
+
+        It holds the revisions known here, which need not be sent again.
+        """
         known = (
             peer.revision
             for peer in self._roster.known()
@@ -386,49 +415,54 @@
         )
         return messages.AskDomain(domain, tuple(known))
 
-    def heard_domain(self, digest: messages.Digest, asked_at: float) -> None:
-        """Take in heartbeats that were asked for.
+    def heard_domain(self, digest: messages.Digest, pulled_at: float) -> None:
+        """Store the heartbeats that a pull returned.
 
-        They are dated from before the question, so that a slow answer
-        makes nobody look alive.
+        Their ages count from the time at which the pull was sent, so a slow
+        answer cannot make a silent proxy look alive.
         """
         now = self._clock.now()
         for aged in digest.news:
-            self._take(aged, asked_at, True)
+            self._store(aged, pulled_at, True)
         for entry in digest.alive:
             self._roster.refreshed(
-                entry.proxy, entry.revision, asked_at - entry.age, now
+                entry.proxy, entry.revision, pulled_at - entry.age, now
             )
 
-    # Who passes on --------------------------------------------------------
+    # Relays ---------------------------------------------------------------
 
-    def _is_small(self) -> bool:
+    def _uses_mesh(self) -> bool:
         candidates = self._roster.candidates(self._clock.now())
         return sum(map(len, candidates.values())) < MESH_SIZE
 
     def is_relay(self) -> bool:
-        """Tell whether others count on this proxy to pass things on."""
-        if self._is_small():
+        """Return whether this proxy acts as a relay."""
+        if self._uses_mesh():
             return False
-        if self._clock.now() - self._asked_at < ASKED_FOR:
+        if self._clock.now() - self._relay_requested_at < RELAY_DUTY_S:
             return True
-        return self._spot.proxy in self.relays(self._spot.domain)
+        return self._identity.proxy in self.relays(self._identity.domain)
 
     def relays(self, domain: str) -> tuple[str, ...]:
-        """Give the relays of a failure domain; this proxy may be one.
+        """Return the relays of a failure domain, chosen by rendezvous hashing.
 
-        Those that were listed just now may be relays that have restarted.
+        This proxy may be one of them. Proxies that were listed recently but
+        not heard yet count too, since they may be restarted relays.
         """
         candidates = self._roster.candidates(self._clock.now())
         proxies = candidates.get(domain, set())
-        if domain == self._spot.domain:
-            proxies = proxies | {self._spot.proxy}
+        if domain == self._identity.domain:
+            proxies = proxies | {self._identity.proxy}
         return core.first_ones(f'relay {domain}', proxies, RELAYS)
 
 
 @attrs.define
-class _RollCall:
-    """Counts the proxies of a domain that have nothing new to say."""
+class _SummaryBuilder:
+    """Builds the summary of a domain's unchanged heartbeats.
+
+    ``revisions`` is the exclusive or of their revisions, ``age`` the greatest
+    age in seconds.
+    """
 
     domain: str
     count: int = 0
@@ -436,11 +470,11 @@
     age: float = 0.0
 
     def add(self, revision: int, age: float) -> None:
-        """Count one whose heartbeat was sent ``age`` seconds ago."""
+        """Add a heartbeat that was sent ``age`` seconds ago."""
         self.count += 1
         self.revisions ^= revision
         self.age = max(self.age, age)
 
-    def closed(self) -> messages.Roll:
-        """Give the count as it is sent."""
+    def build(self) -> messages.Roll:
+        """Return the summary as a digest holds it."""
         return messages.Roll(self.domain, self.count, self.revisions, self.age)
--- a/tests/daemon/test_peers_task.py
+++ b/tests/daemon/test_peers_task.py
@@ -1,4 +1,4 @@
-"""Whom a proxy asks for what others know."""
+"""The order in which a proxy sends a request to its peers."""
 
 import random
 
@@ -30,7 +30,7 @@
 
 @attrs.define
 class Links:
-    """Answers each question with the host that was asked."""
+    """Answers each request with the host that it was sent to."""
 
     def post(self, address: _links.Address, body: messages.PeerBody) -> bool:
         return True
@@ -52,8 +52,8 @@
     return _peers_task.PeersTask(deps, ignore)
 
 
-async def test_who_has_the_newest_configuration_is_asked_first(peers):
-    """Two that both lacked it asked each other for ever."""
+async def test_the_peer_with_the_newest_configuration_is_asked_first(peers):
+    """Guards against two proxies that lack it and ask each other for ever."""
     for number, version in enumerate((0, 2, 1), start=1):
         peers.heard(
             messages.Heartbeat(
--- a/tests/daemon/test_quota_keepers.py
+++ b/tests/daemon/test_quota_keepers.py
@@ -1,4 +1,4 @@
-"""Whom a proxy asks for grants, and when it grants them itself."""
+"""The choice of the keeper that grants a workspace's operations."""
 
 import random
 
@@ -24,7 +24,7 @@
 
 
 class Clock:
-    """A clock that tests move."""
+    """A clock that tests advance."""
 
     at = 100.0
 
@@ -33,7 +33,7 @@
 
 
 class Peers(_peers_task.PeersTask):
-    """Others that grant whatever they are asked, unless they are silent."""
+    """Peers that grant each request, or do not answer if ``silent``."""
 
     def __init__(self, clock: Clock) -> None:
         deps = _deps.Deps(
@@ -60,7 +60,7 @@
         granted = messages.QuotaGrant(core.Grant(True, 0.0))
         return _links.Asked(sent=True, answer=granted)
 
-    def hear(self, domains: str = 'abc') -> None:
+    def receive_heartbeats(self, domains: str = 'abc') -> None:
         for n in range(2, 8):
             domain = 'abc'[n % 3]
             if domain in domains:
@@ -72,13 +72,13 @@
 
 
 class Bench:
-    """The quotas of one proxy among seven, in three domains."""
+    """The quotas of one of seven proxies in three failure domains."""
 
     def __init__(self) -> None:
         self.clock = Clock()
         self.peers = Peers(self.clock)
         self.draining = False
-        self.peers.hear()
+        self.peers.receive_heartbeats()
         self.quotas = _quotas.Quotas(
             _roster.Spot('vm-1.r', 'a'),
             self.peers,
@@ -93,7 +93,7 @@
         return await self.quotas.admit(tenant, 0.0)
 
     async def kept_here(self) -> list[str]:
-        """Give the tenants whose first question stays here."""
+        """Return the workspaces whose operations are granted here."""
         found = []
         for name in NAMES:
             self.peers.asked.clear()
@@ -108,31 +108,32 @@
     return Bench()
 
 
-async def test_each_proxy_keeps_its_part_of_the_tenants(bench):
+async def test_each_proxy_keeps_a_part_of_the_workspaces(bench):
     kept = await bench.kept_here()
     assert 0 < len(kept) < len(NAMES) / 2
 
 
 async def test_a_proxy_that_stops_grants_nothing_by_itself(bench):
-    """Beside its successor it handed out the limit twice while it drained.
+    """Guards against two keepers that both grant the full limit.
 
-    The others had turned to another keeper as soon as its heartbeat told;
-    its own sessions went on by its own grants: 186 operations in 5 s at a
-    limit of 25 a second, of which 185 are borne.
+    When a keeper drains, the other proxies use the next keeper as soon as
+    its heartbeat says so. If the draining proxy still grants the operations of
+    its own sessions, the limit is exceeded: 186 operations in 5 s at a limit
+    of 25 per second, where 185 are tolerated.
     """
     bench.draining = True
     bench.quotas.look()
     assert await bench.kept_here() == []
 
 
-async def test_a_proxy_that_stops_alone_serves_to_its_end(bench):
+async def test_a_draining_proxy_without_peers_still_grants(bench):
     bench.clock.at += 10.0
     bench.draining = True
     bench.quotas.look()
     assert (await bench.admit('t1')).granted
 
 
-async def test_who_does_not_answer_is_asked_again_once_heard(bench):
+async def test_a_silent_keeper_is_asked_again_after_a_heartbeat(bench):
     kept = await bench.kept_here()
     name = next(n for n in NAMES if n not in kept)
     await bench.admit(name)
@@ -143,14 +144,14 @@
     bench.clock.at += 1.1
     await bench.admit(name)
     assert bench.peers.asked[-1] != usual
-    bench.peers.hear()
+    bench.peers.receive_heartbeats()
     await bench.admit(name)
     assert bench.peers.asked[-1] == usual
 
 
-async def test_keepers_behind_a_cut_are_not_asked(bench):
+async def test_keepers_behind_a_partition_are_not_asked(bench):
     bench.clock.at += 1.3
-    bench.peers.hear(domains='ab')
+    bench.peers.receive_heartbeats(domains='ab')
     bench.quotas.look()
     for name in NAMES:
         bench.peers.asked.clear()
--- a/tests/daemon/test_registration.py
+++ b/tests/daemon/test_registration.py
@@ -1,4 +1,4 @@
-"""Registration of one run after another on a VM."""
+"""Registration of successive runs of a proxy on one VM."""
 
 import random
 
@@ -24,7 +24,10 @@
 
 @attrs.define
 class Table:
-    """One table in memory, which counts calls and may lose answers."""
+    """A table in memory that counts calls.
+
+    The answers to the next ``lost`` writes are lost.
+    """
 
     rows: dict[str, ports.Versioned] = attrs.field(factory=dict)
     calls: int = 0
@@ -78,7 +81,7 @@
     assert (registered(table), table.calls) == ('vm-1.r1', 2)
 
 
-async def test_a_run_takes_the_place_of_the_one_before(table):
+async def test_a_run_replaces_the_row_of_the_former_run(table):
     await make(table, 'r1').run()
     await make(table, 'r2').run()
     assert (registered(table), table.calls) == ('vm-1.r2', 4)
@@ -91,7 +94,7 @@
     assert registered(table) == 'vm-1.r1'
 
 
-async def test_a_withdrawal_that_comes_late_leaves_the_next_run(table):
+async def test_a_late_withdrawal_keeps_the_row_of_the_next_run(table):
     former = make(table, 'r1')
     await former.run()
     await make(table, 'r2').run()
--- a/tests/daemon/test_row_keeper.py
+++ b/tests/daemon/test_row_keeper.py
@@ -1,4 +1,4 @@
-"""Who writes a lost row again, and when."""
+"""The choice of the proxy that restores a lost row."""
 
 import pytest
 import result
@@ -20,7 +20,7 @@
 
 
 class Table:
-    """A table with the older row, or none."""
+    """A table that holds an older row, or none."""
 
     def __init__(self, row: core.GroupRow | None = OLD) -> None:
         self.value = _rows.encode_row(row) if row else None
@@ -45,38 +45,38 @@
 
 
 @pytest.mark.parametrize(('there', 'tag'), [(OLD, '7'), (None, None)])
-async def test_the_first_in_turn_writes_it_at_once(there, tag):
+async def test_the_first_in_turn_restores_the_row_at_once(there, tag):
     table = Table(there)
     found = (await keeper(table).read()).unwrap()
     assert _rows.decode_row(found.value).unwrap() == NEW
     assert table.expected == [tag]
 
 
-async def test_the_others_leave_it_to_the_first():
+async def test_other_proxies_wait_for_the_first_in_turn():
     table = Table()
     other = keeper(table, in_turn=False)
-    for _ in range(_row_keeper.GIVEN_TO_OTHERS):
+    for _ in range(_row_keeper.READS_BEFORE_TAKEOVER):
         assert (await other.read()).is_err()
     assert table.expected == []
 
 
-async def test_the_others_write_it_if_the_first_does_not():
+async def test_another_proxy_restores_the_row_after_the_wait():
     table = Table()
     other = keeper(table, in_turn=False)
-    for _ in range(_row_keeper.GIVEN_TO_OTHERS):
+    for _ in range(_row_keeper.READS_BEFORE_TAKEOVER):
         await other.read()
     assert (await other.read()).is_ok()
     assert table.expected == ['7']
 
 
-async def test_an_older_row_that_stays_is_not_given():
+async def test_a_stale_row_is_never_returned():
     table = Table()
     table.conflict = True
     assert (await keeper(table).read()).is_err()
 
 
 @pytest.mark.parametrize('known', [None, OLD])
-async def test_a_row_that_is_as_new_is_given_as_it_is(known):
+async def test_a_row_that_is_not_stale_is_returned_unchanged(known):
     table = Table()
     assert (await keeper(table, known).read()).is_ok()
     assert table.expected == []
--- a/tests/daemon/test_row_task.py
+++ b/tests/daemon/test_row_task.py
@@ -1,4 +1,4 @@
-"""Reading a group's row from a platform that does not always answer."""
+"""Reads of a group's row from a platform that may fail or lose rows."""
 
 import anyio
 import pytest
@@ -21,7 +21,7 @@
 
 
 class Table:
-    """A table whose first reads fail."""
+    """A table whose first ``failing`` reads fail."""
 
     def __init__(self, failing: int) -> None:
         self.failing = failing
@@ -33,8 +33,11 @@
         return result.Ok(ports.Versioned(_rows.encode_row(ROW), '7'))
 
 
-async def test_a_read_that_was_asked_for_is_repeated_until_answered():
-    """Found by the soak, seed 215: writes were refused for a minute."""
+async def test_a_requested_read_is_retried_until_it_succeeds():
+    """Guards against a lost request: writes were refused for a minute.
+
+    The soak run with seed 215 shows the failure.
+    """
     seen = []
     task = _row_task.RowTask(
         'k',
@@ -55,7 +58,7 @@
     assert seen[0].row == ROW
 
 
-async def test_a_group_that_is_not_served_is_not_read_unasked():
+async def test_the_row_of_an_unserved_group_is_read_only_on_request():
     seen = []
     task = _row_task.RowTask(
         'k',
@@ -76,11 +79,14 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_reads_that_find_nothing_new_become_rarer():
-    """While a term changed 195 proxies made 2,700 reads a second."""
+async def test_reads_without_a_change_back_off():
+    """Guards against 2,700 reads per second by 195 proxies.
+
+    Each report of an endpoint requests the row while a term changes.
+    """
     reads = 0
 
-    class Counting(Table):
+    class CountingTable(Table):
         async def read(self, key: str):
             nonlocal reads
             reads += 1
@@ -88,7 +94,7 @@
 
     task = _row_task.RowTask(
         'k',
-        Counting(failing=0),
+        CountingTable(failing=0),
         lambda event: task.fetch(),
         anyio.current_time,
         interval=600.0,
@@ -98,15 +104,15 @@
         tasks.start_soon(task.run)
         await anyio.sleep(1.5)
         tasks.cancel_scope.cancel()
-    # Once each 0.05 s would be 30.
+    # One read every 0.05 s makes 30.
     assert 3 <= reads <= 9
 
 
 NEWER = core.GroupRow(3, 'b', frozenset('abc'))
 
 
-class Rolled(Table):
-    """A table that came back without the newest row."""
+class RestoredTable(Table):
+    """A table restored from a copy without the newest row."""
 
     def __init__(self) -> None:
         super().__init__(failing=0)
@@ -123,9 +129,9 @@
 
 
 @pytest.mark.parametrize('order', [None, supervision.ReadRow()])
-async def test_an_older_row_is_written_again(order):
-    """By the one in turn; no attempt begins from the older row."""
-    table, seen = Rolled(), []
+async def test_an_older_row_is_replaced_by_the_known_one(order):
+    """The proxy in turn restores it, and the older row is never posted."""
+    table, seen = RestoredTable(), []
     task = _row_task.RowTask(
         'k',
         table,
--- a/tests/daemon/test_shared_reads.py
+++ b/tests/daemon/test_shared_reads.py
@@ -1,4 +1,4 @@
-"""Reads of rows that come together."""
+"""Batching of concurrent reads of rows."""
 
 import anyio
 import pytest
@@ -16,7 +16,10 @@
 
 
 class Table:
-    """Answers when it is told to, with the number of the call."""
+    """A table that answers after ``answers`` is set.
+
+    Each value is the number of the call.
+    """
 
     def __init__(self) -> None:
         self.calls: list[set[str]] = []
@@ -34,7 +37,7 @@
     return Table()
 
 
-async def test_ten_groups_that_start_take_two_calls(table):
+async def test_a_start_with_ten_groups_takes_two_calls(table):
     reads = _shared_reads.SharedReads(table)
     found = {}
 
@@ -50,7 +53,7 @@
     assert len(found) == 10
 
 
-async def test_nobody_gets_what_was_read_before_the_question(table):
+async def test_a_read_never_returns_the_result_of_an_earlier_call(table):
     reads = _shared_reads.SharedReads(table)
     found = []
 
@@ -61,14 +64,14 @@
         tasks.start_soon(read)
         while not table.calls:
             await anyio.sleep(0)
-        # This call has been made already: it may show what was before.
+        # The call in progress began before this read: its result may be stale.
         tasks.start_soon(read)
         await anyio.sleep(0)
         table.answers.set()
     assert sorted(found) == [b'1', b'2']
 
 
-async def test_who_is_cancelled_leaves_the_read_to_others(table):
+async def test_a_cancelled_read_does_not_cancel_the_others(table):
     reads = _shared_reads.SharedReads(table)
     found = []
 
--- a/tests/daemon/test_spread.py
+++ b/tests/daemon/test_spread.py
@@ -1,4 +1,4 @@
-"""Heartbeats among many proxies, over a network of plain objects."""
+"""Gossip of heartbeats among many proxies, over a simulated network."""
 
 from collections.abc import Callable
 import random
@@ -15,16 +15,16 @@
 from tidegrade import ports
 
 DOMAINS = ('a', 'b', 'c')
-INTERVAL = 0.5
-ALIVE = 2.6
-#: Its multiples fill an interval evenly.
-GOLDEN = 0.618034
+INTERVAL_S = 0.5
+ALIVE_S = 2.6
+#: The fractional parts of its multiples fill an interval evenly.
+GOLDEN_RATIO = 0.618034
 KEY = messages.GroupKey('s', 'g')
 
 
 @attrs.define
 class Clock:
-    """A clock that tests move."""
+    """A clock that tests advance."""
 
     at: float = 100.0
 
@@ -34,7 +34,7 @@
 
 @attrs.define(eq=False)
 class Proxy:
-    """One proxy of the network: what it would say, and what it knows."""
+    """One proxy of the network: its heartbeat and its view of the others."""
 
     beat: messages.Heartbeat
     roster: _roster.Roster
@@ -44,7 +44,7 @@
 
 @attrs.define
 class Wire:
-    """The links of one proxy; what it posts arrives at once."""
+    """The links of one proxy; a message arrives as soon as it is posted."""
 
     net: 'Net'
     own: str
@@ -56,17 +56,21 @@
 
 @attrs.define
 class Net:
-    """All proxies, and a count of the messages that crossed domains."""
+    """A network of proxies that counts messages.
+
+    ``cut`` names a failure domain that is cut off. ``cross_domain`` counts the
+    messages between domains.
+    """
 
     clock: Clock = attrs.field(factory=Clock)
     proxies: dict[str, Proxy] = attrs.field(factory=dict)
     cut: str = ''
     sent: int = 0
-    questions: int = 0
-    crossed: int = 0
+    pulls: int = 0
+    cross_domain: int = 0
 
     def add(self, name: str, domain: str) -> None:
-        roster = _roster.Roster(name, ALIVE, ALIVE + 2 * INTERVAL)
+        roster = _roster.Roster(name, ALIVE_S, ALIVE_S + 2 * INTERVAL_S)
         spread = _spread.Spread(
             _roster.Spot(name, domain),
             roster,
@@ -83,7 +87,7 @@
         if not to.up or (here != there and self.cut in (here, there)):
             return False
         self.sent += 1
-        self.crossed += here != there
+        self.cross_domain += here != there
         body = codec.decode(codec.encode(messages.PeerMessage(body))).body
         if isinstance(body, messages.Digest):
             to.spread.heard_digest(body)
@@ -91,10 +95,10 @@
             to.spread.heard(body)
         return True
 
-    def ask(self, name: str, question) -> None:
-        """Have a question for a failure domain's heartbeats answered."""
+    def deliver_pull(self, name: str, pull) -> None:
+        """Deliver a proxy's pull of a domain's heartbeats, and its answer."""
         asking = self.proxies[name]
-        address = asking.spread.address_of(question)
+        address = asking.spread.address_of(pull)
         if address is None:
             return
         asked = self.proxies[address.host]
@@ -104,16 +108,17 @@
         if here != there and self.cut in (here, there):
             return
         self.sent += 2
-        self.crossed += 2 * (here != there)
+        self.cross_domain += 2 * (here != there)
         answer = asked.spread.domain_digest(
-            asking.spread.question_about(question.domain)
+            asking.spread.question_about(pull.domain)
         )
         asking.spread.heard_domain(answer, self.clock.now())
 
     def list_all(self, name: str, run: str = '') -> None:
-        """Have a proxy learn from the platform which others there are.
+        """Give a proxy the platform's list of the other proxies.
 
-        ``run`` tells the names of their former runs from those of today.
+        ``run`` is a suffix of the listed names; with it the list names former
+        runs instead of the current ones.
         """
         for other, proxy in self.proxies.items():
             if other == name:
@@ -122,88 +127,90 @@
             self.proxies[name].roster.list_vm(vm, self.clock.now())
 
     def run(self, seconds: float) -> None:
-        for _ in range(int(seconds / INTERVAL)):
-            self.clock.at += INTERVAL
+        for _ in range(int(seconds / INTERVAL_S)):
+            self.clock.at += INTERVAL_S
             for proxy in self.proxies.values():
                 self.beat(proxy)
-            self.ask_all()
+            self.deliver_pulls()
 
     def run_out_of_step(
-        self, seconds: float, look: Callable[[], None] = lambda: None
+        self, seconds: float, observe: Callable[[], None] = lambda: None
     ) -> None:
         """Run with the heartbeats of proxies spread over the interval.
 
-        ``look`` is called before each.
+        ``observe`` is called before each heartbeat.
         """
         start = self.clock.at
-        for turn in range(int(seconds / INTERVAL)):
+        for turn in range(int(seconds / INTERVAL_S)):
             for phase, name in self.by_phase():
-                self.clock.at = start + (turn + phase) * INTERVAL
-                look()
+                self.clock.at = start + (turn + phase) * INTERVAL_S
+                observe()
                 self.beat(self.proxies[name])
-                self.ask_all()
+                self.deliver_pulls()
         self.clock.at = start + seconds
 
     def by_phase(self) -> list[tuple[float, str]]:
-        """Give when in each interval each proxy sends, in order."""
+        """Return the phase at which each proxy sends, in order, by name."""
         names = enumerate(self.proxies)
-        return sorted((number * GOLDEN % 1, name) for number, name in names)
+        return sorted(
+            (number * GOLDEN_RATIO % 1, name) for number, name in names
+        )
 
     def beat(self, proxy: Proxy) -> None:
-        """Have one proxy send its heartbeat, and its digest if any."""
+        """Have a proxy send its heartbeat and, as a relay, its digests."""
         if proxy.up:
             proxy.spread.send(proxy.beat)
             proxy.spread.send_digest(proxy.beat)
 
-    def ask_all(self) -> None:
-        """Have all questions that wait answered."""
+    def deliver_pulls(self) -> None:
+        """Deliver all scheduled pulls."""
         for name, proxy in self.proxies.items():
-            for question in proxy.spread.questions():
-                self.questions += 1
-                self.ask(name, question)
+            for pull in proxy.spread.questions():
+                self.pulls += 1
+                self.deliver_pull(name, pull)
 
     def alive_at(self, name: str) -> set[str]:
         peers = self.proxies[name].roster.alive(self.clock.now())
         return {peer.beat.proxy for peer in peers}
 
-    def all_up_know_each_other(self) -> bool:
+    def all_know_each_other(self) -> bool:
         up = {p.beat.proxy for p in self.proxies.values() if p.up}
         return all(self.alive_at(name) == up - {name} for name in up)
 
 
 @pytest.fixture
 def net() -> Net:
-    """Give sixty proxies that were listed to each other."""
-    made = Net()
+    """Return a network of sixty proxies that know each other."""
+    network = Net()
     for number in range(60):
-        made.add(f'p{number}', DOMAINS[number % 3])
-    for name in made.proxies:
-        made.list_all(name)
-    made.run(3)
-    return made
+        network.add(f'p{number}', DOMAINS[number % 3])
+    for name in network.proxies:
+        network.list_all(name)
+    network.run(3)
+    return network
 
 
-def test_all_hear_of_all_with_few_messages(net):
-    assert net.all_up_know_each_other()
-    net.sent = net.crossed = 0
+def test_relays_inform_all_proxies_with_few_messages(net):
+    assert net.all_know_each_other()
+    net.sent = net.cross_domain = 0
     net.run(10)
-    assert net.all_up_know_each_other()
-    rounds = 10 / INTERVAL
-    # A mesh would take 60 * 59 a round, two thirds of them across.
+    assert net.all_know_each_other()
+    rounds = 10 / INTERVAL_S
+    # A mesh takes 60 * 59 messages per round, two thirds between domains.
     assert net.sent / rounds < 60 * 6
-    assert net.crossed / rounds <= 6 * 4
+    assert net.cross_domain / rounds <= 6 * 4
 
 
-def test_relays_that_end_are_replaced(net):
+def test_failed_relays_are_replaced(net):
     for domain in DOMAINS:
         relays = net.proxies['p0'].spread.relays(domain)
         for name in relays:
             net.proxies[name].up = False
     net.run(8)
-    assert net.all_up_know_each_other()
+    assert net.all_know_each_other()
 
 
-def test_a_domain_that_was_cut_off_is_heard_again(net):
+def test_a_domain_rejoins_after_a_partition(net):
     net.cut = 'a'
     net.run(8)
     inside = {n for n, p in net.proxies.items() if p.beat.domain == 'a'}
@@ -211,14 +218,14 @@
     assert net.alive_at('p1') == set(net.proxies) - inside - {'p1'}
     net.cut = ''
     net.run(5)
-    assert net.all_up_know_each_other()
+    assert net.all_know_each_other()
 
 
-def test_a_proxy_that_starts_is_heard_of(net):
+def test_a_new_proxy_becomes_known_to_all(net):
     net.add('new', 'a')
     net.list_all('new')
     net.run(2)
-    assert net.all_up_know_each_other()
+    assert net.all_know_each_other()
 
 
 def test_a_changed_heartbeat_reaches_all(net):
@@ -232,7 +239,7 @@
             assert known.beat.opinions == (opinion,)
 
 
-def test_what_is_urgent_does_not_wait_for_the_next_digest(net):
+def test_an_urgent_change_does_not_wait_for_the_next_digest(net):
     opinion = messages.GroupOpinion(KEY, 3, True)
     changed = net.proxies['p7']
     changed.beat = attrs.evolve(changed.beat, opinions=(opinion,))
@@ -247,80 +254,86 @@
 
 
 @pytest.mark.parametrize('count', [24, 71])
-def test_nobody_takes_a_domain_for_silent_whose_heartbeats_come(count):
-    """Quotas had two keepers, and homes moved, on a day without a fault.
+def test_a_domain_with_relayed_heartbeats_is_not_silent(count):
+    """Guards against domains that count as cut off without a fault.
 
-    What happens: heartbeats that come through two relays each half second
-    are up to 1.3 s old. Why: a silence counted from when the newest was sent.
+    Heartbeats that arrive through two relays every half second are up to
+    1.3 s old. If silence is counted from the time of sending, quotas get two
+    keepers and homes move.
     """
-    made = Net()
+    network = Net()
     for number in range(count):
-        made.add(f'p{number}', DOMAINS[number % 3])
-    for name in made.proxies:
-        made.list_all(name)
-    made.run_out_of_step(5)
+        network.add(f'p{number}', DOMAINS[number % 3])
+    for name in network.proxies:
+        network.list_all(name)
+    network.run_out_of_step(5)
     found = set()
 
-    def look() -> None:
-        oldest = made.clock.at - _peers_task.DOMAIN_SILENCE
-        for name, proxy in made.proxies.items():
+    def observe() -> None:
+        oldest = network.clock.at - _peers_task.DOMAIN_SILENCE_S
+        for name, proxy in network.proxies.items():
             silent = proxy.roster.silent_domains(oldest)
             found.update((name, domain) for domain in silent)
 
-    made.run_out_of_step(5, look)
+    network.run_out_of_step(5, observe)
     assert not found
 
 
-def test_few_proxies_send_to_each_other_directly():
-    made = Net()
+def test_few_proxies_form_a_mesh():
+    network = Net()
     for number in range(5):
-        made.add(f'p{number}', DOMAINS[number % 3])
-    for name in made.proxies:
-        made.list_all(name)
-    made.run(1)
-    assert made.sent == 2 * 5 * 4
-    assert made.all_up_know_each_other()
+        network.add(f'p{number}', DOMAINS[number % 3])
+    for name in network.proxies:
+        network.list_all(name)
+    network.run(1)
+    assert network.sent == 2 * 5 * 4
+    assert network.all_know_each_other()
 
 
 def _run_many(domains: str, count: int) -> Net:
-    """Give many proxies that were listed to each other and have settled."""
-    made = Net()
+    """Return a network of ``count`` proxies that know each other."""
+    network = Net()
     for number in range(count):
-        made.add(f'p{number}', domains[number % len(domains)])
-    for name in made.proxies:
-        made.list_all(name)
-    made.run(4)
-    assert made.all_up_know_each_other()
-    return made
+        network.add(f'p{number}', domains[number % len(domains)])
+    for name in network.proxies:
+        network.list_all(name)
+    network.run(4)
+    assert network.all_know_each_other()
+    return network
 
 
 @pytest.mark.parametrize('count', [24, 71, 195])
-def test_messages_of_one_proxy_do_not_grow_with_their_number(count):
-    """With 195 in five domains a mesh had 37,830 links and 388 a second."""
-    made = _run_many('abcde', count)
-    made.sent = made.crossed = 0
-    made.run(5)
-    assert made.all_up_know_each_other()
-    assert made.sent / 5 / count < 11
-    # Ten relays, each tells one in each other domain twice a second.
-    assert made.crossed / 5 <= 10 * 4 * 2
+def test_messages_per_proxy_do_not_grow_with_their_number(count):
+    """Guards against traffic that grows with the square of the proxies.
+
+    A mesh of 195 proxies in five domains has 37,830 links, and each proxy
+    sends 388 messages per second.
+    """
+    network = _run_many('abcde', count)
+    network.sent = network.cross_domain = 0
+    network.run(5)
+    assert network.all_know_each_other()
+    assert network.sent / 5 / count < 11
+    # Each of ten relays sends to one relay of each of the four other domains
+    # twice per second.
+    assert network.cross_domain / 5 <= 10 * 4 * 2
 
 
 @pytest.mark.parametrize('count', [24, 71, 195])
-def test_domains_hear_of_each_other_soon_after_a_cut(count):
-    made = _run_many('abcde', count)
-    made.cut = 'a'
-    made.run(10)
-    assert made.alive_at('p0') == {
-        n for n, p in made.proxies.items() if p.beat.domain == 'a'
+def test_domains_know_each_other_soon_after_a_partition(count):
+    network = _run_many('abcde', count)
+    network.cut = 'a'
+    network.run(10)
+    assert network.alive_at('p0') == {
+        n for n, p in network.proxies.items() if p.beat.domain == 'a'
     } - {'p0'}
-    made.cut = ''
-    made.run(3)
-    assert made.all_up_know_each_other()
+    network.cut = ''
+    network.run(3)
+    assert network.all_know_each_other()
 
 
-def test_who_was_found_by_few_is_heard_of_by_all(net):
-    """A proxy that found one other, which is no relay, sends to it alone."""
+def test_a_proxy_with_one_listed_peer_becomes_known_to_all(net):
+    """The new proxy's list holds one proxy, which is no relay."""
     relays = {r for d in DOMAINS for r in net.proxies['p0'].spread.relays(d)}
     net.add('new', 'a')
     found = next(n for n in net.proxies if n not in relays and n != 'new')
@@ -328,10 +341,10 @@
     vm = ports.Vm(found, 'proxy', address.domain, address.host, 1)
     net.proxies['new'].roster.list_vm(vm, net.clock.now())
     net.run(4)
-    assert net.all_up_know_each_other()
+    assert net.all_know_each_other()
 
 
-def test_a_proxy_that_restarts_takes_the_place_of_its_former_run(net):
+def test_a_restarted_proxy_replaces_its_former_run(net):
     beat = net.proxies['p7'].beat
     roster = net.proxies['p8'].roster
     again = attrs.evolve(beat, proxy='p7.again')
@@ -340,38 +353,39 @@
     assert 'p7.again' in alive and 'p7' not in alive
 
 
-def test_who_missed_news_asks_for_it(net):
-    """The number of a domain tells that a heartbeat was missed."""
+def test_a_missed_change_is_pulled(net):
+    """The checksum of a domain shows that a heartbeat was missed."""
     opinion = messages.GroupOpinion(KEY, 3, False)
     missed = net.proxies['p7']
     missed.beat = attrs.evolve(missed.beat, opinions=(opinion,))
-    deaf = net.proxies['p8']
-    deaf.up = False
+    offline = net.proxies['p8']
+    offline.up = False
     net.run(1.5)
-    deaf.up = True
+    offline.up = True
     net.run(2)
-    assert deaf.roster.get('p7').beat.opinions == (opinion,)
+    assert offline.roster.get('p7').beat.opinions == (opinion,)
 
 
-def test_what_changes_is_passed_on_before_anybody_must_ask(net):
-    """A change is a second old at the last relay, and still news there.
+def test_changes_are_forwarded_without_pulls(net):
+    """Guards against pulls after each change.
 
-    While it counted from its sending, all 39 members of a domain asked for
-    all heartbeats of the other whenever one proxy there had changed.
+    A change is a second old when it reaches the last relay. If relays count
+    the time to forward it in full from its sending, all 39 members of a domain
+    pull all heartbeats of the other whenever one proxy there changes.
     """
-    net.questions = 0
+    net.pulls = 0
     for number in range(7, 27):
         changed = net.proxies[f'p{number}']
         opinion = messages.GroupOpinion(KEY, number, False)
         changed.beat = attrs.evolve(changed.beat, opinions=(opinion,))
-        net.run_out_of_step(INTERVAL)
+        net.run_out_of_step(INTERVAL_S)
     net.run_out_of_step(2)
-    assert net.questions == 0
-    assert net.all_up_know_each_other()
+    assert net.pulls == 0
+    assert net.all_know_each_other()
 
 
-def test_a_change_is_news_from_when_it_was_learned(net):
-    """Through two relays it is more than a second old at the last one."""
+def test_a_change_is_forwarded_for_a_time_after_its_receipt(net):
+    """Through two relays a change is over a second old at the last one."""
     relay = net.proxies[net.proxies['p0'].spread.relays('a')[0]]
     opinion = messages.GroupOpinion(KEY, 3, False)
     changed = attrs.evolve(net.proxies['p7'].beat, opinions=(opinion,))
@@ -387,18 +401,18 @@
     assert all(p.roster.get('p7').beat.opinions == (opinion,) for p in inside)
 
 
-def test_who_asks_about_a_domain_is_told_what_it_lacks(net):
-    """What it has already is not sent again.
+def test_a_pull_returns_only_missing_heartbeats(net):
+    """Heartbeats that the requester has are not sent again.
 
-    With every heartbeat in each answer, 195 proxies that started together
-    and asked 8,668 times in 18 s filled the links of their relays.
+    With all heartbeats in each answer, 195 proxies that started together
+    pulled 8,668 times in 18 s and saturated the links of their relays.
     """
     first, *others = [p for p in net.proxies.values() if p.beat.domain == 'a']
     asker = next(p for p in net.proxies.values() if p.beat.domain == 'b')
     changed = others[0].beat = attrs.evolve(others[0].beat, draining=True)
     first.roster.heard(changed, net.clock.now(), net.clock.now())
-    question = asker.spread.question_about('a')
-    answer = first.spread.domain_digest(question)
+    pull = asker.spread.question_about('a')
+    answer = first.spread.domain_digest(pull)
     whole = first.spread.domain_digest(messages.AskDomain('a'))
     assert [aged.beat for aged in answer.news] == [changed]
     assert len(answer.alive) == len(whole.news) - 1
@@ -411,21 +425,22 @@
     assert asker.roster.get(changed.proxy).beat == changed
 
 
-def test_who_knows_only_former_runs_hears_of_all():
-    """After a loss of power of all, a domain heard none of the others.
+def test_a_proxy_that_knows_only_former_runs_learns_of_all():
+    """Guards against a domain that never learns of the others.
 
-    The platform's list still named former runs, and heartbeats of the others
-    were news no more when the domain's relays came up. These saw by the
-    number of each domain that they lacked it, and asked nobody, since they
-    did not know where the sender takes questions. For 16 s its proxies saw
-    30 % of all, and granted that part of the quotas that they kept.
+    After all VMs lost power, the platform still listed former runs. When the
+    relays of the domain started, digests no longer held the heartbeats of the
+    other domains in full. The checksums did not match, but the relays could
+    not pull, since they did not know the sender's address. For 16 s the
+    domain's proxies saw 30 % of all proxies and granted that fraction of the
+    quotas that they kept.
     """
-    made = Net(cut='a')
+    network = Net(cut='a')
     for number in range(60):
-        made.add(f'p{number}', DOMAINS[number % 3])
-    for name in made.proxies:
-        made.list_all(name, run='.former')
-    made.run(4)
-    made.cut = ''
-    made.run(5)
-    assert made.all_up_know_each_other()
+        network.add(f'p{number}', DOMAINS[number % 3])
+    for name in network.proxies:
+        network.list_all(name, run='.former')
+    network.run(4)
+    network.cut = ''
+    network.run(5)
+    assert network.all_know_each_other()
