--- a/src/tidegrade/daemon/_evidence_task.py
+++ b/src/tidegrade/daemon/_evidence_task.py
@@ -63,7 +63,7 @@
         for key, group in self._groups().items():
             if not group.serving:
                 continue
-            proxy = self._peers.first_for(key)
+            proxy = self._peers.polling_proxy(key)
             if proxy != self._deps.proxy_id:
                 found[proxy] = (*found.get(proxy, ()), key)
         return found
--- a/src/tidegrade/daemon/_spread.py
+++ b/src/tidegrade/daemon/_gossip.py
@@ -68,7 +68,7 @@
     domain: str
 
 
-class Spread:
+class Gossip:
     """Sends this proxy's heartbeat and forwards those of other proxies.
 
     It chooses the recipients, and pulls heartbeats that are missing here.
@@ -76,13 +76,13 @@
 
     def __init__(
         self,
-        spot: _roster.Spot,
+        identity: _roster.ProxyIdentity,
         roster: _roster.Roster,
         links: _links.Links,
         clock: ports.Clock,
         rng: random.Random,
     ) -> None:
-        self._identity = spot
+        self._identity = identity
         self._roster = roster
         self._links = links
         self._clock = clock
@@ -107,7 +107,7 @@
                 await anyio.sleep(URGENT_DELAY_S)
                 self._wakeup = anyio.Event()
                 self.flush()
-                for pull in self.questions():
+                for pull in self.take_pulls():
                     tasks.start_soon(self._pull, pull)
 
     def flush(self) -> None:
@@ -211,7 +211,7 @@
         else:
             builders[self._identity.domain].add(self._own_revision, 0.0)
         for peer in self._roster.known():
-            age = max(0.0, now - peer.heard_at)
+            age = max(0.0, now - peer.sent_at)
             if age > DIGEST_AGE_LIMIT_S or peer.beat.domain not in domains:
                 continue
             if now - peer.changed_at < FULL_HEARTBEAT_S:
@@ -260,7 +260,7 @@
 
     # Receiving ------------------------------------------------------------
 
-    def heard(self, beat: messages.Heartbeat) -> None:
+    def receive_heartbeat(self, beat: messages.Heartbeat) -> None:
         """Store a heartbeat received directly from its proxy."""
         now = self._clock.now()
         if beat.pass_on:
@@ -272,15 +272,17 @@
             self._send_relays(beat.domain, address)
         self._store(messages.AgedHeartbeat(beat, 0.0), now, False)
 
-    def heard_digest(self, digest: messages.Digest) -> None:
+    def receive_digest(self, digest: messages.Digest) -> None:
         """Store what a digest holds, and schedule a pull if it differs."""
         now = self._clock.now()
         for aged in digest.news:
             self._store(aged, now, aged.beat.proxy != digest.sender)
         for entry in digest.alive:
             at = now - entry.age
-            self._roster.refreshed(entry.proxy, entry.revision, at, now)
-        self._roster.has_config(
+            self._roster.refresh_unchanged(
+                entry.proxy, entry.revision, at, now
+            )
+        self._roster.record_config(
             digest.sender, digest.config_version, digest.config_age, now
         )
         self._introduce_own_relays(digest)
@@ -288,7 +290,7 @@
         for roll in digest.rolls:
             own = self._own_revision if self._is_counted_in(roll, named) else 0
             pull = _Pull(digest.sender, roll.domain)
-            if self._roster.roll_called(roll, named, own, now):
+            if self._roster.match_summary(roll, named, own, now):
                 self._mismatched.discard(pull)
             elif pull in self._mismatched:
                 self._schedule_pull(pull, now)
@@ -297,7 +299,7 @@
                 # got a change from another relay before this one forwards it.
                 self._mismatched.add(pull)
 
-    def domain_digest(self, request: messages.AskDomain) -> messages.Digest:
+    def answer_pull(self, request: messages.AskDomain) -> messages.Digest:
         """Return the heartbeats of a failure domain that the sender lacks.
 
         For heartbeats that the sender has, the digest only states that their
@@ -310,7 +312,7 @@
         for peer in self._roster.alive(now):
             if peer.beat.domain != request.domain:
                 continue
-            age = max(0.0, now - peer.heard_at)
+            age = max(0.0, now - peer.sent_at)
             if peer.revision in known:
                 alive.append(
                     messages.AliveProxy(peer.beat.proxy, age, peer.revision)
@@ -336,7 +338,9 @@
         known = self._roster.get(beat.proxy)
         before = known.beat.urgent() if known is not None else (False,)
         if (
-            self._roster.heard(beat, at - aged.age, self._clock.now(), relayed)
+            self._roster.record_heartbeat(
+                beat, at - aged.age, self._clock.now(), relayed
+            )
             is None
         ):
             return
@@ -361,7 +365,7 @@
         now = self._clock.now()
         peers = map(self._roster.get, self.relays(domain))
         news = tuple(
-            messages.AgedHeartbeat(peer.beat, max(0.0, now - peer.heard_at))
+            messages.AgedHeartbeat(peer.beat, max(0.0, now - peer.sent_at))
             for peer in peers
             if peer is not None
         )
@@ -383,7 +387,7 @@
             self._scheduled_pulls.add(pull)
             self._wakeup.set()
 
-    def questions(self) -> list[_Pull]:
+    def take_pulls(self) -> list[_Pull]:
         """Return the scheduled pulls and clear them."""
         pulls, self._scheduled_pulls = self._scheduled_pulls, set()
         return list(pulls)
@@ -394,16 +398,16 @@
             return
         pulled_at = self._clock.now()
         pulled = await self._links.fetch(
-            address, self.question_about(pull.domain), PULL_TIMEOUT_S
+            address, self.pull_message(pull.domain), PULL_TIMEOUT_S
         )
         if isinstance(pulled.answer, messages.Digest):
-            self.heard_domain(pulled.answer, pulled_at)
+            self.receive_pulled(pulled.answer, pulled_at)
 
     def address_of(self, pull: _Pull) -> _links.Address | None:
         """Return the address to pull from, None if it is not known."""
         return self._roster.address_of(pull.proxy)
 
-    def question_about(self, domain: str) -> messages.AskDomain:
+    def pull_message(self, domain: str) -> messages.AskDomain:
         """Return the message that pulls the heartbeats of a domain.
 
         It holds the revisions known here, which need not be sent again.
@@ -415,7 +419,9 @@
         )
         return messages.AskDomain(domain, tuple(known))
 
-    def heard_domain(self, digest: messages.Digest, pulled_at: float) -> None:
+    def receive_pulled(
+        self, digest: messages.Digest, pulled_at: float
+    ) -> None:
         """Store the heartbeats that a pull returned.
 
         Their ages count from the time at which the pull was sent, so a slow
@@ -425,7 +431,7 @@
         for aged in digest.news:
             self._store(aged, pulled_at, True)
         for entry in digest.alive:
-            self._roster.refreshed(
+            self._roster.refresh_unchanged(
                 entry.proxy, entry.revision, pulled_at - entry.age, now
             )
 
--- a/src/tidegrade/daemon/_group_task.py
+++ b/src/tidegrade/daemon/_group_task.py
@@ -348,7 +348,7 @@
             return
         self._primary_was_down = own.primary_down
         if self._deps.traits.status_is_costly:
-            self._peers.beat_now()
+            self._peers.send_heartbeat_now()
         row = self.machine.row
         assert row is not None
         fields = {
--- a/src/tidegrade/daemon/_peers_task.py
+++ b/src/tidegrade/daemon/_peers_task.py
@@ -11,8 +11,8 @@
 
 from tidegrade import core
 from tidegrade.daemon import _deps
+from tidegrade.daemon import _gossip
 from tidegrade.daemon import _roster
-from tidegrade.daemon import _spread
 from tidegrade.peers import _links
 from tidegrade.peers import _messages as messages
 from tidegrade.peers import _server
@@ -40,8 +40,8 @@
     """Owns the links to the peers, the heartbeats and the roster.
 
     ``handler`` is called for received messages that this task does not
-    process itself. ``beat_of`` returns the current heartbeat of this proxy;
-    none is sent while it is None.
+    process itself. ``make_heartbeat`` returns the current heartbeat of this
+    proxy; no heartbeat is sent while it is None.
     """
 
     def __init__(self, deps: _deps.Deps, handler: _server.Handler) -> None:
@@ -54,17 +54,17 @@
         self._server = _server.PeerServer(own, key, self._receive)
         relayed_s = cfg.alive_s + RELAYED_INTERVALS * cfg.heartbeat_s
         self._roster = _roster.Roster(deps.proxy_id, cfg.alive_s, relayed_s)
-        self._gossip = _spread.Spread(
-            _roster.Spot(deps.proxy_id, deps.domain),
+        self._gossip = _gossip.Gossip(
+            _roster.ProxyIdentity(deps.proxy_id, deps.domain),
             self._roster,
             self._links,
             deps.clock,
             deps.rng,
         )
         #: Whether the platform's list of VMs was received.
-        self.has_looked = False
+        self.has_vm_list = False
         self._seen_at: dict[_links.Address, float] = {}
-        self.beat_of: Callable[[], messages.Heartbeat] | None = None
+        self.make_heartbeat: Callable[[], messages.Heartbeat] | None = None
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
         """Accept connections and send heartbeats until cancelled."""
@@ -87,26 +87,26 @@
             own = _links.Address(vm.host, vm.port) == self._own
             if vm.role == 'proxy' and not own:
                 self._seen_at[self._roster.list_vm(vm, now)] = now
-        self.has_looked = True
+        self.has_vm_list = True
         # A proxy that has just started becomes known half an interval sooner
         # than with its next regular heartbeat.
-        self.beat_now()
+        self.send_heartbeat_now()
 
-    def heard(self, beat: messages.Heartbeat) -> None:
+    def receive_heartbeat(self, beat: messages.Heartbeat) -> None:
         """Process a heartbeat received directly from its proxy."""
-        self._gossip.heard(beat)
+        self._gossip.receive_heartbeat(beat)
 
-    def heard_digest(self, digest: messages.Digest) -> None:
+    def receive_digest(self, digest: messages.Digest) -> None:
         """Process a digest of heartbeats that another proxy sent."""
-        self._gossip.heard_digest(digest)
+        self._gossip.receive_digest(digest)
 
     def known(self) -> list[_roster.Peer]:
         """Return all known peers, alive or not."""
         return self._roster.known()
 
-    def heard_outside(self) -> float | None:
+    def last_heartbeat_outside(self) -> float | None:
         """Return when a newer heartbeat of another domain last arrived."""
-        return self._roster.news_outside(self._deps.domain)
+        return self._roster.last_heartbeat_outside(self._deps.domain)
 
     def alive(self) -> list[_roster.Peer]:
         """Return the peers that are alive."""
@@ -116,11 +116,11 @@
         """Return the proxy ids of the peers that are alive."""
         return tuple(peer.beat.proxy for peer in self.alive())
 
-    def named_count(self) -> int:
+    def peer_count(self) -> int:
         """Return the number of other proxies that are listed or known."""
         return len(self._roster.addresses())
 
-    def unheard(self) -> list[str]:
+    def silent_addresses(self) -> list[str]:
         """Return the listed or known addresses without an alive peer."""
         heard = {peer.address for peer in self.alive()}
         return [
@@ -136,7 +136,7 @@
         """Return the proxy ids of the alive peers that serve a group."""
         return tuple(peer.beat.proxy for peer in self.serving(key))
 
-    def first_for(self, key: messages.GroupKey) -> str:
+    def polling_proxy(self, key: messages.GroupKey) -> str:
         """Return the proxy that polls a group's endpoints for the others.
 
         This proxy must itself serve the group.
@@ -160,12 +160,12 @@
         oldest = self._deps.clock.now() - DOMAIN_SILENCE_S
         return self._roster.silent_domains(oldest) - {self._deps.domain}
 
-    def heard_since(self, proxy: str, at: float) -> bool:
+    def has_heartbeat_since(self, proxy: str, at: float) -> bool:
         """Return whether a proxy sent a heartbeat after the time ``at``.
 
         True also for an unknown proxy, since it may just have started.
         """
-        return self._roster.heard_since(proxy, at)
+        return self._roster.has_heartbeat_since(proxy, at)
 
     def domain_of(self, proxy: str) -> str:
         """Return a proxy's failure domain, empty if it is not known."""
@@ -190,7 +190,7 @@
         """Send a message to all proxies that can be reached."""
         self._gossip.announce(body)
 
-    def tell(self, proxy: str, body: messages.PeerBody) -> None:
+    def send_to(self, proxy: str, body: messages.PeerBody) -> None:
         """Send one proxy a message that has no answer.
 
         It is dropped if the proxy's address is not known.
@@ -252,17 +252,17 @@
     ) -> messages.PeerBody | None:
         """Process a received message, or leave it to the handler."""
         if isinstance(body, messages.AskDomain):
-            return self._gossip.domain_digest(body)
+            return self._gossip.answer_pull(body)
         if isinstance(body, messages.Announcement) and body.pass_on:
             self._gossip.pass_on(body)
         return await self._handler(body)
 
     # Heartbeats -----------------------------------------------------------
 
-    def beat_now(self) -> None:
+    def send_heartbeat_now(self) -> None:
         """Send a heartbeat at once, such as after a change of opinion."""
-        if self.beat_of is not None:
-            self._send_heartbeat(self.beat_of())
+        if self.make_heartbeat is not None:
+            self._send_heartbeat(self.make_heartbeat())
 
     def is_relay(self) -> bool:
         """Return whether this proxy acts as a relay."""
@@ -274,8 +274,8 @@
 
     async def _send_heartbeats(self) -> None:
         while True:
-            if self.beat_of is not None:
-                self._send_heartbeat(self.beat_of())
+            if self.make_heartbeat is not None:
+                self._send_heartbeat(self.make_heartbeat())
             self._remove_silent()
             await anyio.sleep(self._deps.peers.heartbeat_s)
 
--- a/src/tidegrade/daemon/_quotas.py
+++ b/src/tidegrade/daemon/_quotas.py
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        spot: _roster.Spot,
+        identity: _roster.ProxyIdentity,
         peers: _peers_task.PeersTask,
         clock: ports.Clock,
         version: Callable[[], int],
@@ -54,7 +54,7 @@
         cut_off: Callable[[], bool] = lambda: False,
         draining: Callable[[], bool] = lambda: False,
     ) -> None:
-        self._identity = spot
+        self._identity = identity
         self._peers = peers
         self._clock = clock
         self._version = version
@@ -65,7 +65,7 @@
         self._domains: dict[str, str] = {}
         self._failed_at: dict[str, float] = {}
         self._next_report = float('-inf')
-        self.look()
+        self.update_proxies()
 
     async def run(self) -> None:
         """Update the known proxies and log reports until cancelled."""
@@ -77,7 +77,7 @@
             if late > core.LONGEST_DELAY:
                 self._keeper.paused(late)
             last = now
-            self.look()
+            self.update_proxies()
             self._report(now)
 
     def _report(self, now: float) -> None:
@@ -128,9 +128,9 @@
         """Return a grant whose operation reached no endpoint to its keeper."""
         back = messages.QuotaBack(name, admission.at)
         if admission.keeper == self._identity.proxy:
-            self.given_back(back)
+            self.take_back(back)
         else:
-            self._peers.tell(admission.keeper, back)
+            self._peers.send_to(admission.keeper, back)
 
     async def _ask_keeper(
         self,
@@ -182,7 +182,7 @@
     def _is_skipped(self, proxy: str, failed_at: float) -> bool:
         if self._clock.now() - failed_at < SKIP_KEEPER_S:
             return True
-        return not self._peers.heard_since(proxy, failed_at)
+        return not self._peers.has_heartbeat_since(proxy, failed_at)
 
     # Requests of other proxies --------------------------------------------
 
@@ -197,7 +197,7 @@
             self._grant(tenant, question.patience, question.instead_of)
         )
 
-    def given_back(self, body: messages.QuotaBack) -> None:
+    def take_back(self, body: messages.QuotaBack) -> None:
         """Take back an unused grant that this proxy gave as keeper."""
         self._keeper.give_back(body.tenant, body.at, self._clock.now())
 
@@ -216,7 +216,7 @@
 
     # Known proxies --------------------------------------------------------
 
-    def look(self) -> None:
+    def update_proxies(self) -> None:
         """Update the known proxies and the workspaces that this one keeps."""
         domains = {
             proxy: domain
@@ -252,7 +252,7 @@
             (peer.beat.domain for peer in self._peers.alive()), instead_of
         )
         starting = self._count(self._peers.starting_domains(), instead_of)
-        known = 1 + self._peers.named_count()
+        known = 1 + self._peers.peer_count()
         return core.part_seen(1 + seen, known, starting)
 
     def _count(self, domains: Iterable[str], instead_of: str) -> int:
--- a/src/tidegrade/daemon/_registration.py
+++ b/src/tidegrade/daemon/_registration.py
@@ -44,14 +44,14 @@
         self._on_registered()
 
     async def keep(self) -> None:
-        """Register, and check the row again on each call of `look_again`."""
+        """Register, and check the row again on each call of `recheck`."""
         await self.run()
         while True:
             await self._check_requested.wait()
             self._check_requested = anyio.Event()
             await self._until_registered()
 
-    def look_again(self) -> None:
+    def recheck(self) -> None:
         """Have `keep` check the row, which a table restore may have lost."""
         self._check_requested.set()
 
--- a/src/tidegrade/daemon/_roster.py
+++ b/src/tidegrade/daemon/_roster.py
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen
-class Spot:
+class ProxyIdentity:
     """A proxy's own name and failure domain."""
 
     proxy: str
@@ -34,7 +34,7 @@
     """
 
     beat: messages.Heartbeat
-    heard_at: float
+    sent_at: float
     changed_at: float
     revision: int
     relayed: bool = False
@@ -90,7 +90,7 @@
         """Remove a listed address."""
         self._listed.pop(address, None)
 
-    def heard(
+    def record_heartbeat(
         self,
         beat: messages.Heartbeat,
         at: float,
@@ -109,7 +109,7 @@
             self._add(peer, now)
             _record_config(peer, beat.config_age, at)
             return peer
-        if known.heard_at >= at:
+        if known.sent_at >= at:
             return None
         self._refresh(known, at, relayed, now)
         if known.beat != beat:
@@ -117,7 +117,7 @@
         _record_config(known, beat.config_age, at)
         return known
 
-    def refreshed(
+    def refresh_unchanged(
         self, proxy: str, revision: int, at: float, now: float
     ) -> None:
         """Record that an unchanged heartbeat was sent again at ``at``."""
@@ -125,10 +125,10 @@
         if known is None or known.revision != revision:
             # The content may have changed: the full heartbeat follows.
             return
-        if known.heard_at < at:
+        if known.sent_at < at:
             self._refresh(known, at, True, now)
 
-    def roll_called(
+    def match_summary(
         self,
         roll: messages.Roll,
         named: frozenset[str],
@@ -152,11 +152,11 @@
             return False
         at = now - roll.age
         for peer in members:
-            if peer.heard_at < at:
+            if peer.sent_at < at:
                 self._refresh(peer, at, True, now)
         return True
 
-    def has_config(
+    def record_config(
         self, proxy: str, version: int, age: float | None, at: float
     ) -> None:
         """Record the configuration version that a proxy has in force.
@@ -174,7 +174,7 @@
     def forget(self, oldest: float) -> None:
         """Remove the peers whose last heartbeat was sent before ``oldest``."""
         for peer in list(self._peers.values()):
-            if peer.heard_at < oldest:
+            if peer.sent_at < oldest:
                 self._remove(peer)
 
     def _add(self, peer: Peer, now: float) -> None:
@@ -216,14 +216,14 @@
     def _refresh(
         self, peer: Peer, at: float, relayed: bool, now: float
     ) -> None:
-        peer.heard_at = at
+        peer.sent_at = at
         peer.relayed = relayed
         self._record_newest(peer, now)
 
     def _record_newest(self, peer: Peer, now: float) -> None:
         domain = peer.beat.domain
-        if peer.heard_at > self._newest_sent_at.get(domain, float('-inf')):
-            self._newest_sent_at[domain] = peer.heard_at
+        if peer.sent_at > self._newest_sent_at.get(domain, float('-inf')):
+            self._newest_sent_at[domain] = peer.sent_at
             self._newest_received_at[domain] = now
 
     # Queries --------------------------------------------------------------
@@ -242,7 +242,7 @@
         return [
             peer
             for peer in self._peers.values()
-            if peer.heard_at >= (relayed if peer.relayed else direct)
+            if peer.sent_at >= (relayed if peer.relayed else direct)
         ]
 
     def serving(self, key: messages.GroupKey, now: float) -> list[Peer]:
@@ -251,7 +251,7 @@
         return [
             peer
             for peer in self._serving.get(key, {}).values()
-            if peer.heard_at >= (relayed if peer.relayed else direct)
+            if peer.sent_at >= (relayed if peer.relayed else direct)
         ]
 
     def silent_domains(self, oldest: float) -> frozenset[str]:
@@ -266,15 +266,15 @@
             if at < oldest
         )
 
-    def heard_since(self, proxy: str, at: float) -> bool:
+    def has_heartbeat_since(self, proxy: str, at: float) -> bool:
         """Return whether a proxy sent a heartbeat after the time ``at``.
 
         True also for an unknown proxy, since it may just have started.
         """
         peer = self._peers.get(proxy)
-        return peer is None or peer.heard_at > at
+        return peer is None or peer.sent_at > at
 
-    def news_outside(self, domain: str) -> float | None:
+    def last_heartbeat_outside(self, domain: str) -> float | None:
         """Return when a newer heartbeat of another domain last arrived.
 
         None if none ever arrived. ``domain`` is the own failure domain.
--- a/src/tidegrade/daemon/_row_keeper.py
+++ b/src/tidegrade/daemon/_row_reader.py
@@ -43,7 +43,7 @@
         """Return the rows whose keys begin with ``prefix``."""
 
 
-class RowKeeper:
+class RowReader:
     """Reads one row, and restores it if the table holds an older one.
 
     ``newest`` returns the newest row that this proxy knows. ``in_turn``
--- a/src/tidegrade/daemon/_row_task.py
+++ b/src/tidegrade/daemon/_row_task.py
@@ -8,7 +8,7 @@
 from tidegrade.codec import _rows
 from tidegrade import core
 from tidegrade.core import supervision
-from tidegrade.daemon import _row_keeper
+from tidegrade.daemon import _row_reader
 from tidegrade import logs
 from tidegrade import ports
 
@@ -42,7 +42,7 @@
     def __init__(
         self,
         key: str,
-        table: _row_keeper.RowTable,
+        table: _row_reader.RowTable,
         post: Post,
         now: Callable[[], float],
         interval: float,
@@ -55,7 +55,7 @@
         self._serving = serving
         self._key = key
         self._table = table
-        self._reader = _row_keeper.RowKeeper(key, table, newest, in_turn)
+        self._reader = _row_reader.RowReader(key, table, newest, in_turn)
         self._post = post
         self._read_requested = anyio.Event()
         #: The row as it was last read.
--- a/src/tidegrade/http_proxy/_admin.py
+++ b/src/tidegrade/http_proxy/_admin.py
@@ -196,7 +196,7 @@
             'draining': self.draining,
             'in_flight': self._service.in_flight,
             'peers': peers,
-            'unheard': self._peers.unheard(),
+            'unheard': self._peers.silent_addresses(),
             'groups': [
                 self._group_status(group)
                 for group in self._service.groups.values()
--- a/src/tidegrade/http_proxy/_proxy.py
+++ b/src/tidegrade/http_proxy/_proxy.py
@@ -70,9 +70,9 @@
             metrics=_metrics.Metrics(),
         )
         self._peers = _peers_task.PeersTask(self._shared, self._peer_says)
-        self._peers.beat_of = self._heartbeat
+        self._peers.make_heartbeat = self._heartbeat
         self._quotas = _quotas.Quotas(
-            _roster.Spot(proxy_id, cfg.domain),
+            _roster.ProxyIdentity(proxy_id, cfg.domain),
             self._peers,
             self._shared.clock,
             lambda: self._service.version,
@@ -256,10 +256,10 @@
         self, body: messages.PeerBody
     ) -> messages.PeerBody | None:
         if isinstance(body, messages.Heartbeat):
-            self._peers.heard(body)
+            self._peers.receive_heartbeat(body)
             self._configs.heard(body.config_version)
         elif isinstance(body, messages.Digest):
-            self._peers.heard_digest(body)
+            self._peers.receive_digest(body)
             for aged in body.news:
                 self._configs.heard(aged.beat.config_version)
         elif isinstance(body, messages.GiveUp):
@@ -274,7 +274,7 @@
         elif isinstance(body, messages.AskQuota):
             return self._quotas.answer(body)
         elif isinstance(body, messages.QuotaBack):
-            self._quotas.given_back(body)
+            self._quotas.take_back(body)
         return None
 
     def _give_up(self, body: messages.GiveUp) -> messages.GaveUp | None:
--- a/src/tidegrade/session_proxy/_config_fetch.py
+++ b/src/tidegrade/session_proxy/_config_fetch.py
@@ -55,7 +55,7 @@
 
     def __init__(
         self,
-        spot: _roster.Spot,
+        spot: _roster.ProxyIdentity,
         directory: ports.Directory,
         peers: _peers_task.PeersTask,
         version: Callable[[], int],
--- a/src/tidegrade/session_proxy/_homes.py
+++ b/src/tidegrade/session_proxy/_homes.py
@@ -19,7 +19,7 @@
 
     def __init__(
         self,
-        spot: _roster.Spot,
+        spot: _roster.ProxyIdentity,
         peers: _peers_task.PeersTask,
         clock: ports.Clock,
         by_tenant: Callable[[], bool] = lambda: False,
@@ -37,7 +37,7 @@
         Until it has looked for others it serves none: all that start
         together would take each group for theirs alone.
         """
-        if not self._peers.has_looked:
+        if not self._peers.has_vm_list:
             return core.Homes(False, 0)
         proxies = self._peers.candidates()
         proxies.setdefault(self._spot.domain, set()).add(self._spot.proxy)
@@ -51,7 +51,7 @@
         )
         if found.count == sum(map(len, proxies.values())):
             # All serve; those that were named lately may be starting.
-            return core.Homes(True, 1 + self._peers.named_count())
+            return core.Homes(True, 1 + self._peers.peer_count())
         return core.Homes(found.is_home and not draining, found.count)
 
     def pick(
@@ -128,7 +128,7 @@
             return True
         if self._clock.now() - failed_at < AVOIDED_FOR:
             return False
-        return self._peers.heard_since(proxy, failed_at)
+        return self._peers.has_heartbeat_since(proxy, failed_at)
 
     def _cost(self, proxy: str) -> tuple[bool, int, bytes]:
         far = self._peers.domain_of(proxy) != self._spot.domain
--- a/src/tidegrade/session_proxy/_peer_service.py
+++ b/src/tidegrade/session_proxy/_peer_service.py
@@ -59,9 +59,9 @@
 
     def _take(self, body: messages.PeerBody) -> messages.PeerBody | None:
         if isinstance(body, messages.Heartbeat):
-            self._peers.heard(body)
+            self._peers.receive_heartbeat(body)
         elif isinstance(body, messages.Digest):
-            self._peers.heard_digest(body)
+            self._peers.receive_digest(body)
         elif isinstance(body, messages.GiveUp):
             return self._give_up(body)
         elif isinstance(body, messages.RowNews):
@@ -77,7 +77,7 @@
         elif isinstance(body, messages.AskQuota):
             return self._quotas.answer(body)
         elif isinstance(body, messages.QuotaBack):
-            self._quotas.given_back(body)
+            self._quotas.take_back(body)
         return None
 
     async def _serve(self, body: messages.Forward) -> messages.Forwarded:
--- a/src/tidegrade/session_proxy/_platform_watch.py
+++ b/src/tidegrade/session_proxy/_platform_watch.py
@@ -34,7 +34,7 @@
 
     def __init__(
         self,
-        spot: _roster.Spot,
+        spot: _roster.ProxyIdentity,
         directory: ports.Directory,
         peers: _peers_task.PeersTask,
         version: Callable[[], int],
@@ -78,7 +78,7 @@
         Relays do, too: their failure domains get it from them.
         """
         if self.watching or self._peers.is_relay():
-            self._peers.beat_now()
+            self._peers.send_heartbeat_now()
 
     def answer(self, question: messages.AskConfig) -> messages.ConfigContent:
         """Give another proxy the configuration that is in force here."""
@@ -134,7 +134,7 @@
         if self.watching and not self._directory.answers:
             self._blind_until = anyio.current_time() + BLIND_FOR
         if self.blind != was_blind:
-            self._peers.beat_now()
+            self._peers.send_heartbeat_now()
         was_watching = self.watching
         self.turn = self._turn()
         if self.watching != was_watching:
@@ -161,7 +161,7 @@
         left the watch for 8 s to the one that took itself for none of them.
         Where the platform answers nobody, all keep to their usual places.
         """
-        if not self._peers.has_looked:
+        if not self._peers.has_vm_list:
             # Else all that start together would watch, and tell all.
             return WATCHERS
         alive = self._peers.alive()
--- a/src/tidegrade/session_proxy/_proxy.py
+++ b/src/tidegrade/session_proxy/_proxy.py
@@ -140,12 +140,12 @@
         key = await _peer_key.shared_key(self._outside.table, self._rng)
         deps = self._make_deps(key)
         peers = _peers_task.PeersTask(deps, self._peer_says)
-        peers.beat_of = self._heartbeat
+        peers.make_heartbeat = self._heartbeat
         self._deps, self._peers = deps, peers
         self._evidence = _evidence_task.EvidenceTask(
             deps, peers, lambda: self._groups
         )
-        spot = _roster.Spot(deps.proxy_id, deps.domain)
+        spot = _roster.ProxyIdentity(deps.proxy_id, deps.domain)
         self._watch = _platform_watch.PlatformWatch(
             spot,
             self._outside.directory,
@@ -221,8 +221,8 @@
             await tasks.start(self._outside.door.serve, self)
             await self._stopping.wait()
             # Other proxies hand over nothing more from now on.
-            peers.beat_now()
-            quotas.look()
+            peers.send_heartbeat_now()
+            quotas.update_proxies()
             await self._ending.wind_down(self._cfg)
             with anyio.move_on_after(0.3):
                 await registration.withdraw()
@@ -282,7 +282,7 @@
             now = self._outside.clock.now()
             permitted = self._is_permitted(now)
             if self._isolation.observe(
-                self._peers.heard_outside(), permitted, now
+                self._peers.last_heartbeat_outside(), permitted, now
             ):
                 self._isolation_changed(permitted)
             self._outside.door.close_refused(
@@ -448,7 +448,7 @@
 
     def _store_returned(self) -> None:
         """Look after what this proxy had written to the platform's table."""
-        self._registration.look_again()
+        self._registration.recheck()
         for group in self._groups.values():
             group.read_row()
 
--- a/src/tidegrade/session_proxy/_routed_group.py
+++ b/src/tidegrade/session_proxy/_routed_group.py
@@ -68,7 +68,7 @@
             self._task.post(event)
             return
         assert isinstance(event, core.RequestArrived)
-        self._peers.tell(owner, self._message(event.req))
+        self._peers.send_to(owner, self._message(event.req))
 
     def final(self, answer: core.Answer) -> core.Answer:
         """Give the answer that is true at this very moment."""
--- a/tests/daemon/test_spread.py
+++ b/tests/daemon/test_gossip.py
@@ -6,9 +6,9 @@
 import attrs
 import pytest
 
+from tidegrade.daemon import _gossip
 from tidegrade.daemon import _peers_task
 from tidegrade.daemon import _roster
-from tidegrade.daemon import _spread
 from tidegrade.peers import _links
 from tidegrade.peers import _message_codec as codec
 from tidegrade.peers import _messages as messages
@@ -38,7 +38,7 @@
 
     beat: messages.Heartbeat
     roster: _roster.Roster
-    spread: _spread.Spread
+    gossip: _gossip.Gossip
     up: bool = True
 
 
@@ -71,15 +71,15 @@
 
     def add(self, name: str, domain: str) -> None:
         roster = _roster.Roster(name, ALIVE_S, ALIVE_S + 2 * INTERVAL_S)
-        spread = _spread.Spread(
-            _roster.Spot(name, domain),
+        gossip = _gossip.Gossip(
+            _roster.ProxyIdentity(name, domain),
             roster,
             Wire(self, name),
             self.clock,
             random.Random(name),
         )
         beat = messages.Heartbeat(name, domain, name, 1, 1, False)
-        self.proxies[name] = Proxy(beat, roster, spread)
+        self.proxies[name] = Proxy(beat, roster, gossip)
 
     def deliver(self, own: str, to: Proxy, body: messages.PeerBody) -> bool:
         here = self.proxies[own].beat.domain
@@ -90,15 +90,15 @@
         self.cross_domain += here != there
         body = codec.decode(codec.encode(messages.PeerMessage(body))).body
         if isinstance(body, messages.Digest):
-            to.spread.heard_digest(body)
+            to.gossip.receive_digest(body)
         else:
-            to.spread.heard(body)
+            to.gossip.receive_heartbeat(body)
         return True
 
     def deliver_pull(self, name: str, pull) -> None:
         """Deliver a proxy's pull of a domain's heartbeats, and its answer."""
         asking = self.proxies[name]
-        address = asking.spread.address_of(pull)
+        address = asking.gossip.address_of(pull)
         if address is None:
             return
         asked = self.proxies[address.host]
@@ -109,10 +109,10 @@
             return
         self.sent += 2
         self.cross_domain += 2 * (here != there)
-        answer = asked.spread.domain_digest(
-            asking.spread.question_about(pull.domain)
+        answer = asked.gossip.answer_pull(
+            asking.gossip.pull_message(pull.domain)
         )
-        asking.spread.heard_domain(answer, self.clock.now())
+        asking.gossip.receive_pulled(answer, self.clock.now())
 
     def list_all(self, name: str, run: str = '') -> None:
         """Give a proxy the platform's list of the other proxies.
@@ -159,13 +159,13 @@
     def beat(self, proxy: Proxy) -> None:
         """Have a proxy send its heartbeat and, as a relay, its digests."""
         if proxy.up:
-            proxy.spread.send(proxy.beat)
-            proxy.spread.send_digest(proxy.beat)
+            proxy.gossip.send(proxy.beat)
+            proxy.gossip.send_digest(proxy.beat)
 
     def deliver_pulls(self) -> None:
         """Deliver all scheduled pulls."""
         for name, proxy in self.proxies.items():
-            for pull in proxy.spread.questions():
+            for pull in proxy.gossip.take_pulls():
                 self.pulls += 1
                 self.deliver_pull(name, pull)
 
@@ -203,7 +203,7 @@
 
 def test_failed_relays_are_replaced(net):
     for domain in DOMAINS:
-        relays = net.proxies['p0'].spread.relays(domain)
+        relays = net.proxies['p0'].gossip.relays(domain)
         for name in relays:
             net.proxies[name].up = False
     net.run(8)
@@ -244,10 +244,10 @@
     changed = net.proxies['p7']
     changed.beat = attrs.evolve(changed.beat, opinions=(opinion,))
     net.clock.at += 0.01
-    changed.spread.send(changed.beat)
+    changed.gossip.send(changed.beat)
     for _ in range(3):
         for proxy in net.proxies.values():
-            proxy.spread.flush()
+            proxy.gossip.flush()
     for name, proxy in net.proxies.items():
         if name != 'p7':
             assert proxy.roster.get('p7').beat.opinions == (opinion,)
@@ -334,7 +334,7 @@
 
 def test_a_proxy_with_one_listed_peer_becomes_known_to_all(net):
     """The new proxy's list holds one proxy, which is no relay."""
-    relays = {r for d in DOMAINS for r in net.proxies['p0'].spread.relays(d)}
+    relays = {r for d in DOMAINS for r in net.proxies['p0'].gossip.relays(d)}
     net.add('new', 'a')
     found = next(n for n in net.proxies if n not in relays and n != 'new')
     address = net.proxies[found].beat
@@ -348,7 +348,7 @@
     beat = net.proxies['p7'].beat
     roster = net.proxies['p8'].roster
     again = attrs.evolve(beat, proxy='p7.again')
-    roster.heard(again, net.clock.now(), net.clock.now())
+    roster.record_heartbeat(again, net.clock.now(), net.clock.now())
     alive = {p.beat.proxy for p in roster.alive(net.clock.now())}
     assert 'p7.again' in alive and 'p7' not in alive
 
@@ -386,13 +386,13 @@
 
 def test_a_change_is_forwarded_for_a_time_after_its_receipt(net):
     """Through two relays a change is over a second old at the last one."""
-    relay = net.proxies[net.proxies['p0'].spread.relays('a')[0]]
+    relay = net.proxies[net.proxies['p0'].gossip.relays('a')[0]]
     opinion = messages.GroupOpinion(KEY, 3, False)
     changed = attrs.evolve(net.proxies['p7'].beat, opinions=(opinion,))
     net.clock.at += 2.0
     aged = messages.AgedHeartbeat(changed, 1.2)
-    relay.spread.heard_digest(messages.Digest((aged,)))
-    relay.spread.send_digest(relay.beat)
+    relay.gossip.receive_digest(messages.Digest((aged,)))
+    relay.gossip.send_digest(relay.beat)
     inside = [
         p
         for p in net.proxies.values()
@@ -410,10 +410,10 @@
     first, *others = [p for p in net.proxies.values() if p.beat.domain == 'a']
     asker = next(p for p in net.proxies.values() if p.beat.domain == 'b')
     changed = others[0].beat = attrs.evolve(others[0].beat, draining=True)
-    first.roster.heard(changed, net.clock.now(), net.clock.now())
-    pull = asker.spread.question_about('a')
-    answer = first.spread.domain_digest(pull)
-    whole = first.spread.domain_digest(messages.AskDomain('a'))
+    first.roster.record_heartbeat(changed, net.clock.now(), net.clock.now())
+    pull = asker.gossip.pull_message('a')
+    answer = first.gossip.answer_pull(pull)
+    whole = first.gossip.answer_pull(messages.AskDomain('a'))
     assert [aged.beat for aged in answer.news] == [changed]
     assert len(answer.alive) == len(whole.news) - 1
     sizes = [
@@ -421,7 +421,7 @@
         for digest in (answer, whole)
     ]
     assert sizes[0] < sizes[1] / 2
-    asker.spread.heard_domain(answer, net.clock.now())
+    asker.gossip.receive_pulled(answer, net.clock.now())
     assert asker.roster.get(changed.proxy).beat == changed
 
 
--- a/tests/daemon/test_peers_task.py
+++ b/tests/daemon/test_peers_task.py
@@ -55,7 +55,7 @@
 async def test_the_peer_with_the_newest_configuration_is_asked_first(peers):
     """Guards against two proxies that lack it and ask each other for ever."""
     for number, version in enumerate((0, 2, 1), start=1):
-        peers.heard(
+        peers.receive_heartbeat(
             messages.Heartbeat(
                 f'p{number}', 'a', f'h{number}', 1, version, False
             )
--- a/tests/daemon/test_quota_keepers.py
+++ b/tests/daemon/test_quota_keepers.py
@@ -64,7 +64,7 @@
         for n in range(2, 8):
             domain = 'abc'[n % 3]
             if domain in domains:
-                self.heard(
+                self.receive_heartbeat(
                     messages.Heartbeat(
                         f'vm-{n}.r', domain, 'h', n, 1, draining=False
                     )
@@ -80,7 +80,7 @@
         self.draining = False
         self.peers.receive_heartbeats()
         self.quotas = _quotas.Quotas(
-            _roster.Spot('vm-1.r', 'a'),
+            _roster.ProxyIdentity('vm-1.r', 'a'),
             self.peers,
             self.clock,
             lambda: 1,
@@ -113,7 +113,7 @@
     assert 0 < len(kept) < len(NAMES) / 2
 
 
-async def test_a_proxy_that_stops_grants_nothing_by_itself(bench):
+async def test_a_draining_proxy_grants_nothing_itself(bench):
     """Guards against two keepers that both grant the full limit.
 
     When a keeper drains, the other proxies use the next keeper as soon as
@@ -122,14 +122,14 @@
     of 25 per second, where 185 are tolerated.
     """
     bench.draining = True
-    bench.quotas.look()
+    bench.quotas.update_proxies()
     assert await bench.kept_here() == []
 
 
 async def test_a_draining_proxy_without_peers_still_grants(bench):
     bench.clock.at += 10.0
     bench.draining = True
-    bench.quotas.look()
+    bench.quotas.update_proxies()
     assert (await bench.admit('t1')).granted
 
 
@@ -152,7 +152,7 @@
 async def test_keepers_behind_a_partition_are_not_asked(bench):
     bench.clock.at += 1.3
     bench.peers.receive_heartbeats(domains='ab')
-    bench.quotas.look()
+    bench.quotas.update_proxies()
     for name in NAMES:
         bench.peers.asked.clear()
         await bench.admit(name)
--- a/tests/daemon/test_row_keeper.py
+++ b/tests/daemon/test_row_reader.py
@@ -5,7 +5,7 @@
 
 from tidegrade.codec import _rows
 from tidegrade import core
-from tidegrade.daemon import _row_keeper
+from tidegrade.daemon import _row_reader
 from tidegrade import ports
 
 pytestmark = pytest.mark.anyio
@@ -40,8 +40,8 @@
         return result.Ok('8')
 
 
-def keeper(table, known=NEW, in_turn=True) -> _row_keeper.RowKeeper:
-    return _row_keeper.RowKeeper('k', table, lambda: known, lambda: in_turn)
+def keeper(table, known=NEW, in_turn=True) -> _row_reader.RowReader:
+    return _row_reader.RowReader('k', table, lambda: known, lambda: in_turn)
 
 
 @pytest.mark.parametrize(('there', 'tag'), [(OLD, '7'), (None, None)])
@@ -55,7 +55,7 @@
 async def test_other_proxies_wait_for_the_first_in_turn():
     table = Table()
     other = keeper(table, in_turn=False)
-    for _ in range(_row_keeper.READS_BEFORE_TAKEOVER):
+    for _ in range(_row_reader.READS_BEFORE_TAKEOVER):
         assert (await other.read()).is_err()
     assert table.expected == []
 
@@ -63,7 +63,7 @@
 async def test_another_proxy_restores_the_row_after_the_wait():
     table = Table()
     other = keeper(table, in_turn=False)
-    for _ in range(_row_keeper.READS_BEFORE_TAKEOVER):
+    for _ in range(_row_reader.READS_BEFORE_TAKEOVER):
         await other.read()
     assert (await other.read()).is_ok()
     assert table.expected == ['7']
--- a/tests/session_proxy/test_configuration_spreads.py
+++ b/tests/session_proxy/test_configuration_spreads.py
@@ -121,9 +121,9 @@
 
     async def handle(self, body: messages.PeerBody):
         if isinstance(body, messages.Heartbeat):
-            self.peers.heard(body)
+            self.peers.receive_heartbeat(body)
         elif isinstance(body, messages.Digest):
-            self.peers.heard_digest(body)
+            self.peers.receive_digest(body)
         elif isinstance(body, messages.AskConfig):
             if self.mute:
                 await anyio.sleep_forever()
@@ -165,7 +165,7 @@
         made: list[Proxy] = []
         peers = _peers_task.PeersTask(deps, lambda b: made[0].handle(b))
         watch = _platform_watch.PlatformWatch(
-            _roster.Spot(name, domain),
+            _roster.ProxyIdentity(name, domain),
             directory,
             peers,
             lambda: directory.version,
@@ -173,7 +173,7 @@
             IN_FORCE_WITHIN,
         )
         fetch = _config_fetch.ConfigFetch(
-            _roster.Spot(name, domain),
+            _roster.ProxyIdentity(name, domain),
             directory,
             peers,
             lambda: directory.version,
@@ -181,8 +181,8 @@
         )
         proxy = Proxy(name, domain, directory, peers, watch, fetch)
         made.append(proxy)
-        peers.has_looked = True
-        peers.beat_of = lambda: proxy.beat(relay.port)
+        peers.has_vm_list = True
+        peers.make_heartbeat = lambda: proxy.beat(relay.port)
         self.proxies.append(proxy)
         self._ports.append(relay.port)
         await self._tasks.start(peers.run)
@@ -193,7 +193,7 @@
         for proxy in self.proxies:
             for other, port in zip(self.proxies, self._ports, strict=True):
                 if other is not proxy:
-                    proxy.peers.heard(other.beat(port))
+                    proxy.peers.receive_heartbeat(other.beat(port))
         for proxy in self.proxies:
             self._tasks.start_soon(proxy.watch.run)
             self._tasks.start_soon(proxy.fetch.run)
--- a/tests/session_proxy/test_first_primary.py
+++ b/tests/session_proxy/test_first_primary.py
@@ -77,11 +77,11 @@
     made._deps = made._make_deps('00' * 32)
     made._rng = random.Random(1)
     made._peers = _peers_task.PeersTask(made._deps, made._peer_says)
-    made._peers.has_looked = True
+    made._peers.has_vm_list = True
     made._evidence = _evidence_task.EvidenceTask(
         made._deps, made._peers, lambda: {}
     )
-    spot = _roster.Spot('vm-1.0', 'a')
+    spot = _roster.ProxyIdentity('vm-1.0', 'a')
     made._homes = _homes.HomeMap(spot, made._peers, made._deps.clock)
     made._watch = types.SimpleNamespace(adopted=lambda: None)
     made._catalogue = CATALOGUE
--- a/tests/session_proxy/test_home_map.py
+++ b/tests/session_proxy/test_home_map.py
@@ -52,7 +52,7 @@
 
 @pytest.fixture
 def homes(peers, clock) -> _homes.HomeMap:
-    return _homes.HomeMap(_roster.Spot('vm-1.r', 'a'), peers, clock)
+    return _homes.HomeMap(_roster.ProxyIdentity('vm-1.r', 'a'), peers, clock)
 
 
 def test_who_has_not_looked_for_others_serves_nothing(homes):
@@ -111,7 +111,7 @@
             beat = messages.Heartbeat(
                 f'vm-{n}.r', domain, 'h', n, 1, False, (opinion,)
             )
-            peers.heard(beat)
+            peers.receive_heartbeat(beat)
 
 
 def pick(homes, tenant: str) -> str | None:
