--- a/src/tidegrade/session_proxy/_platform_watch.py
+++ b/src/tidegrade/session_proxy/_platform_watch.py
@@ -35,7 +35,7 @@
 
     def __init__(
         self,
-        spot: _roster.Spot,
+        spot: _roster.ProxyIdentity,
         directory: ports.Directory,
         peers: _peers_task.PeersTask,
         version: Callable[[], int],
@@ -82,7 +82,7 @@
         configuration from the relay.
         """
         if self.watching or self._peers.is_relay():
-            self._peers.beat_now()
+            self._peers.send_heartbeat_now()
 
     def answer(self, question: messages.AskConfig) -> messages.ConfigContent:
         """Return the configuration that is in force here."""
@@ -139,7 +139,7 @@
         if self.watching and not self._directory.answers:
             self._blind_until = anyio.current_time() + BLIND_FOR_S
         if self.blind != was_blind:
-            self._peers.beat_now()
+            self._peers.send_heartbeat_now()
         was_watching = self.watching
         self.turn = self._rank_among_watchers()
         if self.watching != was_watching:
@@ -167,7 +167,7 @@
         for 8 s, the seventh does not start to watch. If the platform answers
         no proxy, all keep their usual ranks.
         """
-        if not self._peers.has_looked:
+        if not self._peers.has_vm_list:
             # Otherwise all proxies that start together would watch and
             # announce what they read.
             return WATCHERS
--- a/src/tidegrade/session_proxy/_proxy.py
+++ b/src/tidegrade/session_proxy/_proxy.py
@@ -145,12 +145,12 @@
         key = await _peer_key.shared_key(self._adapters.table, self._rng)
         deps = self._make_deps(key)
         peers = _peers_task.PeersTask(deps, self._handle_peer_message)
-        peers.beat_of = self._heartbeat
+        peers.make_heartbeat = self._heartbeat
         self._deps, self._peers = deps, peers
         self._evidence = _evidence_task.EvidenceTask(
             deps, peers, lambda: self._groups
         )
-        spot = _roster.Spot(deps.proxy_id, deps.domain)
+        spot = _roster.ProxyIdentity(deps.proxy_id, deps.domain)
         self._watch = _platform_watch.PlatformWatch(
             spot,
             self._adapters.directory,
@@ -226,8 +226,8 @@
             await tasks.start(self._adapters.door.serve, self)
             await self._stopping.wait()
             # The heartbeat tells other proxies to forward no more requests.
-            peers.beat_now()
-            quotas.look()
+            peers.send_heartbeat_now()
+            quotas.update_proxies()
             await self._drain.drain_sessions(self._cfg)
             with anyio.move_on_after(0.3):
                 await registration.withdraw()
@@ -287,7 +287,7 @@
             now = self._adapters.clock.now()
             permitted = self._is_permitted(now)
             if self._isolation.observe(
-                self._peers.heard_outside(), permitted, now
+                self._peers.last_heartbeat_outside(), permitted, now
             ):
                 self._on_isolation_changed(permitted)
             self._adapters.door.close_refused(
@@ -464,7 +464,7 @@
 
     def _on_store_restored(self) -> None:
         """Check the rows that this proxy wrote after the store is restored."""
-        self._registration.look_again()
+        self._registration.recheck()
         for group in self._groups.values():
             group.read_row()
 
--- a/tests/session_proxy/test_first_primary.py
+++ b/tests/session_proxy/test_first_primary.py
@@ -79,11 +79,11 @@
     created._peers = _peers_task.PeersTask(
         created._deps, created._handle_peer_message
     )
-    created._peers.has_looked = True
+    created._peers.has_vm_list = True
     created._evidence = _evidence_task.EvidenceTask(
         created._deps, created._peers, lambda: {}
     )
-    spot = _roster.Spot('vm-1.0', 'a')
+    spot = _roster.ProxyIdentity('vm-1.0', 'a')
     created._homes = _homes.HomeMap(spot, created._peers, created._deps.clock)
     created._watch = types.SimpleNamespace(announce_config=lambda: None)
     created._catalogue = CATALOGUE
