--- a/bench/tidegrade_bench/_slopes.py
+++ b/bench/tidegrade_bench/_slopes.py
@@ -106,7 +106,7 @@
         self._names: dict[int, str] = {}
         self._tell(core.Registered(True))
         row = core.GroupRow(1, 'a', frozenset('abc'))
-        self._tell(core.RowSeen(row))
+        self._tell(core.RowReceived(row))
 
     def second(self) -> None:
         """Let a second pass, with the ticks that the daemon makes."""
--- a/src/tidegrade/core/__init__.py
+++ b/src/tidegrade/core/__init__.py
@@ -16,27 +16,27 @@
 from tidegrade.core._events import ConfigChanged
 from tidegrade.core._events import ConnClosed
 from tidegrade.core._events import ConnOpened
-from tidegrade.core._events import ControlAsked
 from tidegrade.core._events import ControlEnded
-from tidegrade.core._events import ControlsRecalled
-from tidegrade.core._events import CutOff
+from tidegrade.core._events import ControlRequested
+from tidegrade.core._events import ControlsCancelled
+from tidegrade.core._events import CutOffChanged
 from tidegrade.core._events import DrainStarted
+from tidegrade.core._events import EndpointSuspected
 from tidegrade.core._events import Event
-from tidegrade.core._events import EvidenceHeard
+from tidegrade.core._events import EvidenceReceived
 from tidegrade.core._events import FetchRow
 from tidegrade.core._events import GiveUp
 from tidegrade.core._events import JobEnded
-from tidegrade.core._events import LeavingChanged
+from tidegrade.core._events import LeavingEndpointsChanged
 from tidegrade.core._events import OpenConn
-from tidegrade.core._events import Paused
-from tidegrade.core._events import PollsForPeers
+from tidegrade.core._events import PollingDutyChanged
+from tidegrade.core._events import ProcessPaused
 from tidegrade.core._events import Registered
 from tidegrade.core._events import Reply
 from tidegrade.core._events import RequestArrived
-from tidegrade.core._events import RequestDropped
-from tidegrade.core._events import RowSeen
+from tidegrade.core._events import RequestCancelled
+from tidegrade.core._events import RowReceived
 from tidegrade.core._events import RunJob
-from tidegrade.core._events import Suspected
 from tidegrade.core._events import Tick
 from tidegrade.core._evidence import Evidence
 from tidegrade.core._evidence import MemberGrant
@@ -87,9 +87,9 @@
 from tidegrade.core._row import TERMS_A_GENERATION
 from tidegrade.core._sources import Source
 from tidegrade.core._sources import Sources
-from tidegrade.core._state import LONGEST_DELAY
-from tidegrade.core._state import LONGEST_PAUSE
 from tidegrade.core._state import MachineSettings
+from tidegrade.core._state import MAX_SCHEDULING_DELAY_S
+from tidegrade.core._state import MAX_TRUSTED_PAUSE_S
 from tidegrade.core._token import SessionToken
 from tidegrade.core._traits import POSTGRESQL
 from tidegrade.core._traits import Traits
@@ -115,8 +115,8 @@
 
 __all__ = [
     'BACK_WITHIN',
-    'LONGEST_DELAY',
-    'LONGEST_PAUSE',
+    'MAX_SCHEDULING_DELAY_S',
+    'MAX_TRUSTED_PAUSE_S',
     'NO_LOSS',
     'POSTGRESQL',
     'START_GRANTS',
@@ -134,15 +134,16 @@
     'ConfigRef',
     'ConnClosed',
     'ConnOpened',
-    'ControlAsked',
     'ControlEnded',
-    'ControlsRecalled',
-    'CutOff',
+    'ControlRequested',
+    'ControlsCancelled',
+    'CutOffChanged',
     'DrainStarted',
     'EndpointReport',
+    'EndpointSuspected',
     'Event',
     'Evidence',
-    'EvidenceHeard',
+    'EvidenceReceived',
     'ExecuteJob',
     'Failure',
     'FenceJob',
@@ -162,18 +163,18 @@
     'JobFailed',
     'JobOutcome',
     'Kind',
-    'LeavingChanged',
+    'LeavingEndpointsChanged',
     'MachineSettings',
     'MemberGrant',
     'OpenConn',
     'Opinion',
     'Outcome',
-    'Paused',
-    'PollsForPeers',
+    'PollingDutyChanged',
     'Position',
     'Prepared',
     'PrimaryAfterWrite',
     'PrimaryOnly',
+    'ProcessPaused',
     'PromoteJob',
     'QuotaKeeper',
     'ReadJob',
@@ -182,10 +183,10 @@
     'Reply',
     'Request',
     'RequestArrived',
-    'RequestDropped',
+    'RequestCancelled',
     'ResultSet',
     'RollbackJob',
-    'RowSeen',
+    'RowReceived',
     'RunJob',
     'SessionReplica',
     'SessionSetup',
@@ -198,7 +199,6 @@
     'StatusJob',
     'Step',
     'Supervisor',
-    'Suspected',
     'Tick',
     'Trace',
     'Traits',
--- a/src/tidegrade/core/_confirm.py
+++ b/src/tidegrade/core/_confirm.py
@@ -81,7 +81,7 @@
 
     def _received(self, name: str) -> int:
         report = self._state.views[name].report
-        if report is None or not self._state.on_history(name):
+        if report is None or not self._state.has_current_term(name):
             return -1
         return report.received_lsn
 
--- a/src/tidegrade/core/_controls.py
+++ b/src/tidegrade/core/_controls.py
@@ -10,9 +10,9 @@
 
     def __init__(self, state: _state.GroupState) -> None:
         self._state = state
-        self._waiting: list[_events.ControlAsked] = []
+        self._waiting: list[_events.ControlRequested] = []
 
-    def ask(self, control: _events.ControlAsked) -> None:
+    def ask(self, control: _events.ControlRequested) -> None:
         """Queue a job; it runs on the next idle connection."""
         self._waiting.append(control)
 
@@ -23,7 +23,7 @@
         """
         self._waiting.clear()
         for conn in self._state.pool:
-            if isinstance(conn.owner, _events.ControlAsked):
+            if isinstance(conn.owner, _events.ControlRequested):
                 self._state.close(conn)
 
     def run(self, now: float) -> None:
@@ -35,13 +35,15 @@
             else:
                 self._try_to_run(control, now)
 
-    def _fail_overdue(self, control: _events.ControlAsked) -> None:
+    def _fail_overdue(self, control: _events.ControlRequested) -> None:
         late = _jobs.JobFailed(_jobs.Failure.TIMEOUT)
-        self._state.order(
+        self._state.emit(
             _events.ControlEnded(control.control, control.endpoint, late)
         )
 
-    def _try_to_run(self, control: _events.ControlAsked, now: float) -> None:
+    def _try_to_run(
+        self, control: _events.ControlRequested, now: float
+    ) -> None:
         conn = self._state.pool.idle_any(control.endpoint)
         if conn is None:
             # A change of primary waits for this job, so it may open a
@@ -52,4 +54,6 @@
             )
             return
         self._waiting.remove(control)
-        self._state.run(conn, control.job, control, control.deadline, now)
+        self._state.start_job(
+            conn, control.job, control, control.deadline, now
+        )
--- a/src/tidegrade/core/_detector.py
+++ b/src/tidegrade/core/_detector.py
@@ -21,7 +21,7 @@
     """
     if not view.failures:
         return False
-    silent_since = max(view.seen_at, float('-inf'))
+    silent_since = max(view.last_answer_at, float('-inf'))
     if silent_since == float('-inf'):
         silent_since = view.first_failure
     silent = now - silent_since
--- a/src/tidegrade/core/_dispatch.py
+++ b/src/tidegrade/core/_dispatch.py
@@ -53,7 +53,7 @@
         if late or self.waiting >= self._state.cfg.queue_limit:
             self._registry.refuse(pending, _types.Code.OVERLOADED, ahead=ahead)
             return
-        self._queue_of(pending).push(pending.req.line, pending)
+        self._queue_of(pending).push(pending.req.queue_key, pending)
 
     def park(self, pending: _pending.Pending) -> None:
         """Delay a request until its ``not_before``."""
@@ -61,7 +61,7 @@
 
     def discard(self, pending: _pending.Pending) -> None:
         """Remove a request that needs no connection any more."""
-        tenant = pending.req.line
+        tenant = pending.req.queue_key
         if self._reads.remove(tenant, pending):
             return
         if self._primary.remove(tenant, pending):
@@ -121,7 +121,7 @@
             return
         self._parked = [p for p in self._parked if p.not_before > now]
         for pending in due:
-            self._queue_of(pending).push(pending.req.line, pending)
+            self._queue_of(pending).push(pending.req.queue_key, pending)
 
     def _serve(
         self,
--- a/src/tidegrade/core/_events.py
+++ b/src/tidegrade/core/_events.py
@@ -19,7 +19,7 @@
 
 
 @attrs.frozen
-class RequestDropped:
+class RequestCancelled:
     """The caller has disconnected and no longer awaits the answer."""
 
     req_id: int
@@ -56,7 +56,7 @@
 
 
 @attrs.frozen
-class RowSeen:
+class RowReceived:
     """The group's row was read from the platform or received from a peer.
 
     ``asked_at`` is the time at which the platform was asked for the row;
@@ -93,7 +93,7 @@
 
 
 @attrs.frozen
-class ControlAsked:
+class ControlRequested:
     """A supervisor asks for a job on an endpoint.
 
     The job takes precedence over callers' requests. ``deadline`` is a point
@@ -107,19 +107,19 @@
 
 
 @attrs.frozen
-class ControlsRecalled:
+class ControlsCancelled:
     """A supervisor's attempt has ended; none of its jobs may take effect."""
 
 
 @attrs.frozen
-class LeavingChanged:
+class LeavingEndpointsChanged:
     """The set of the group's endpoints that the VM list marks as leaving."""
 
     endpoints: frozenset[str]
 
 
 @attrs.frozen
-class EvidenceHeard:
+class EvidenceReceived:
     """Another proxy has sent its evidence.
 
     Times are converted to this proxy's clock. ``asked_at`` is the time at
@@ -131,28 +131,28 @@
 
 
 @attrs.frozen
-class Paused:
+class ProcessPaused:
     """This process did not run for ``seconds``."""
 
     seconds: float
 
 
 @attrs.frozen
-class PollsForPeers:
+class PollingDutyChanged:
     """Whether this proxy polls endpoints for its peers has changed."""
 
     wanted: bool
 
 
 @attrs.frozen
-class Suspected:
+class EndpointSuspected:
     """Another proxy considers this endpoint down; it is to be polled soon."""
 
     endpoint: str
 
 
 @attrs.frozen
-class CutOff:
+class CutOffChanged:
     """Whether this failure domain is cut off from all others has changed."""
 
     cut_off: bool
@@ -170,22 +170,22 @@
 
 Event = (
     RequestArrived
-    | RequestDropped
+    | RequestCancelled
     | ConnOpened
     | ConnClosed
     | JobEnded
-    | RowSeen
+    | RowReceived
     | ConfigChanged
     | GiveUp
     | Registered
-    | ControlAsked
-    | ControlsRecalled
-    | LeavingChanged
-    | EvidenceHeard
-    | Paused
-    | PollsForPeers
-    | Suspected
-    | CutOff
+    | ControlRequested
+    | ControlsCancelled
+    | LeavingEndpointsChanged
+    | EvidenceReceived
+    | ProcessPaused
+    | PollingDutyChanged
+    | EndpointSuspected
+    | CutOffChanged
     | DrainStarted
     | Tick
 )
--- a/src/tidegrade/core/_group.py
+++ b/src/tidegrade/core/_group.py
@@ -71,22 +71,22 @@
         self._controls = _controls.Controls(state)
         self._handlers: dict[type, typing.Callable[..., None]] = {
             _events.RequestArrived: self._request_arrived,
-            _events.RequestDropped: self._request_dropped,
+            _events.RequestCancelled: self._request_cancelled,
             _events.ConnOpened: self._conn_opened,
             _events.ConnClosed: self._conn_closed,
             _events.JobEnded: self._job_ended,
-            _events.RowSeen: self._row_seen,
+            _events.RowReceived: self._row_received,
             _events.ConfigChanged: self._config_changed,
             _events.GiveUp: self._give_up,
-            _events.CutOff: self._cut_off,
+            _events.CutOffChanged: self._cut_off_changed,
             _events.Registered: self._registered,
-            _events.ControlAsked: self._control_asked,
-            _events.ControlsRecalled: self._controls_recalled,
-            _events.LeavingChanged: self._leaving_changed,
-            _events.EvidenceHeard: self._evidence_heard,
-            _events.Paused: self._paused,
-            _events.PollsForPeers: self._polls_for_peers,
-            _events.Suspected: self._suspected,
+            _events.ControlRequested: self._control_requested,
+            _events.ControlsCancelled: self._controls_cancelled,
+            _events.LeavingEndpointsChanged: self._leaving_endpoints_changed,
+            _events.EvidenceReceived: self._evidence_received,
+            _events.ProcessPaused: self._process_paused,
+            _events.PollingDutyChanged: self._polling_duty_changed,
+            _events.EndpointSuspected: self._endpoint_suspected,
             _events.DrainStarted: self._drain_started,
             _events.Tick: self._tick,
         }
@@ -122,7 +122,7 @@
         """Return the number of connections to an endpoint."""
         return len(self._state.pool.of(endpoint))
 
-    def finds_primary_down(self, now: float) -> bool:
+    def considers_primary_down(self, now: float) -> bool:
         """Return whether this proxy considers the primary down."""
         state = self._state
         if state.row is None or state.row.primary not in state.views:
@@ -202,8 +202,8 @@
         else:
             self._dispatcher.add(pending, now)
 
-    def _request_dropped(
-        self, event: _events.RequestDropped, now: float
+    def _request_cancelled(
+        self, event: _events.RequestCancelled, now: float
     ) -> None:
         pending = self._registry.get(event.req_id)
         if pending is None or pending.sent_to or pending.commit_sent:
@@ -243,9 +243,9 @@
         if conn.state is _pool.ConnState.OPENING:
             view = self._state.views[conn.endpoint]
             if event.full:
-                view.answered_full(now)
+                view.record_full(now)
             else:
-                view.failed(event.refused, now)
+                view.record_failure(event.refused, now)
         if conn.job is not None:
             lost = _jobs.JobFailed(_jobs.Failure.LOST)
             self._finish_job(conn, lost, now)
@@ -288,8 +288,8 @@
         late = failed.failure is _jobs.Failure.TIMEOUT
         # A time-out is no failure of an endpoint that has answered on another
         # connection since the job was sent.
-        if lost or (late and view.seen_at <= conn.sent_at):
-            view.failed(False, now)
+        if lost or (late and view.last_answer_at <= conn.sent_at):
+            view.record_failure(False, now)
         if not failed.usable:
             self._state.close(conn)
 
@@ -302,9 +302,9 @@
         sent_at: float,
         now: float,
     ) -> None:
-        if isinstance(owner, _events.ControlAsked):
+        if isinstance(owner, _events.ControlRequested):
             ended = _events.ControlEnded(owner.control, conn.endpoint, outcome)
-            self._state.order(ended)
+            self._state.emit(ended)
         elif isinstance(owner, _txns.TxnStep):
             self._txns.step_ended(owner, conn, job, outcome, now)
         elif isinstance(owner, _pending.Pending):
@@ -334,7 +334,7 @@
 
     # The term, the configuration and the peers ----------------------------
 
-    def _row_seen(self, event: _events.RowSeen, now: float) -> None:
+    def _row_received(self, event: _events.RowReceived, now: float) -> None:
         state = self._state
         if event.asked_at is not None:
             state.row_confirmed(event.asked_at)
@@ -346,7 +346,7 @@
         else:
             state.outlook.change_seen(now)
         if former is not None and event.row.term > former.term:
-            state.keep_former(former)
+            state.record_former_position(former)
         if former is None or event.row.term > former.term:
             self._new_term(event.row, now)
 
@@ -399,13 +399,13 @@
 
     def _give_up(self, event: _events.GiveUp, now: float) -> None:
         self._state.permission.give_up(event.below, now)
-        self._state.order(_events.FetchRow())
+        self._state.emit(_events.FetchRow())
 
     def _registered(self, event: _events.Registered, now: float) -> None:
         self._state.registered = event.registered
 
-    def _leaving_changed(
-        self, event: _events.LeavingChanged, now: float
+    def _leaving_endpoints_changed(
+        self, event: _events.LeavingEndpointsChanged, now: float
     ) -> None:
         since = self._state.leaving_since
         for name in event.endpoints:
@@ -416,17 +416,19 @@
 
     # Peers and pauses -----------------------------------------------------
 
-    def _evidence_heard(
-        self, event: _events.EvidenceHeard, now: float
+    def _evidence_received(
+        self, event: _events.EvidenceReceived, now: float
     ) -> None:
         _sharing.take_evidence(self._state, event)
 
-    def _paused(self, event: _events.Paused, now: float) -> None:
+    def _process_paused(
+        self, event: _events.ProcessPaused, now: float
+    ) -> None:
         self._reset_failure_detection(now)
         self._state.outlook.improved(now)
-        if event.seconds > _state.LONGEST_PAUSE:
+        if event.seconds > _state.MAX_TRUSTED_PAUSE_S:
             self._state.paused_at = now
-            self._state.order(_events.FetchRow())
+            self._state.emit(_events.FetchRow())
 
     def _reset_failure_detection(self, now: float) -> None:
         """Reset failure detection after a pause of this process.
@@ -435,24 +437,28 @@
         pause have not been read yet.
         """
         for view in self._state.views.values():
-            view.excuse(now)
+            view.reset_failures(now)
         for conn in self._state.pool:
             if conn.job is not None:
-                read_by = now + _state.READING_TIME
+                read_by = now + _state.BACKLOG_READ_S
                 conn.deadline = max(conn.deadline, read_by)
             elif conn.state is _pool.ConnState.OPENING:
                 conn.sent_at = now
 
-    def _polls_for_peers(
-        self, event: _events.PollsForPeers, now: float
+    def _polling_duty_changed(
+        self, event: _events.PollingDutyChanged, now: float
     ) -> None:
         self._state.polls_for_peers = event.wanted
 
-    def _suspected(self, event: _events.Suspected, now: float) -> None:
+    def _endpoint_suspected(
+        self, event: _events.EndpointSuspected, now: float
+    ) -> None:
         if event.endpoint in self._state.views:
             self._polls.suspect(event.endpoint, now)
 
-    def _cut_off(self, event: _events.CutOff, now: float) -> None:
+    def _cut_off_changed(
+        self, event: _events.CutOffChanged, now: float
+    ) -> None:
         self._state.outlook.cut_off = event.cut_off
         self._state.outlook.improved(now)
 
@@ -461,11 +467,13 @@
 
     # Supervision ----------------------------------------------------------
 
-    def _control_asked(self, event: _events.ControlAsked, now: float) -> None:
+    def _control_requested(
+        self, event: _events.ControlRequested, now: float
+    ) -> None:
         self._controls.ask(event)
 
-    def _controls_recalled(
-        self, event: _events.ControlsRecalled, now: float
+    def _controls_cancelled(
+        self, event: _events.ControlsCancelled, now: float
     ) -> None:
         self._controls.recall()
 
@@ -480,7 +488,7 @@
 
     def _close_overdue_conns(self, now: float) -> None:
         for conn in self._polls.stuck(now):
-            self._state.views[conn.endpoint].failed(False, now)
+            self._state.views[conn.endpoint].record_failure(False, now)
             self._state.pool.give_up_opening(conn, now)
             self._state.close(conn)
         for conn in self._state.pool:
@@ -495,7 +503,7 @@
     def _refuse_unservable(self, now: float) -> None:
         state = self._state
         state.outlook.observe(state.may_acknowledge(now), now)
-        for pending in self._registry.without_prospect(now):
+        for pending in self._registry.unservable(now):
             self._dispatcher.discard(pending)
             detail = 'no recovery expected within the time limit'
             self._registry.refuse(pending, pending.waiting_for, detail)
--- a/src/tidegrade/core/_hung_polls.py
+++ b/src/tidegrade/core/_hung_polls.py
@@ -61,7 +61,7 @@
 
     def _ask_beside_statements(self, name: str, now: float) -> bool:
         """Poll where a statement hangs and nothing was heard since."""
-        heard = self._state.views[name].seen_at
+        heard = self._state.views[name].last_answer_at
         for conn in self._state.pool.of(name):
             silent = conn.job is not None and conn.sent_at > heard
             if silent and self._hangs(conn, now):
@@ -75,12 +75,12 @@
         if since is None:
             return
         view = self._state.views[name]
-        if view.seen_at >= since:
+        if view.last_answer_at >= since:
             del self._silent_since[name]
             return
         limit = self._state.cfg.suspect_after_s
         if not view.failures and now - since >= limit:
-            view.failed(False, now)
+            view.record_failure(False, now)
 
     def _end_overtaken(self, name: str, now: float) -> None:
         """Close connections that hang though a later poll was answered.
--- a/src/tidegrade/core/_needs.py
+++ b/src/tidegrade/core/_needs.py
@@ -125,7 +125,7 @@
         if not self._state.registered:
             # Nobody waits for this proxy before another endpoint leads.
             return None
-        sample = self._state.samples.since(at)
+        sample = self._state.samples.oldest_since(at)
         covered = self._state.permission.covered_until()
         if sample is None or sample.at > covered:
             return None
--- a/src/tidegrade/core/_pending.py
+++ b/src/tidegrade/core/_pending.py
@@ -36,6 +36,6 @@
     needs_permission: bool = False
 
     @property
-    def repeatable(self) -> bool:
+    def safe_to_retry(self) -> bool:
         """Whether the request can safely run a second time."""
         return self.req.idempotent or self.req.key is not None
--- a/src/tidegrade/core/_polls.py
+++ b/src/tidegrade/core/_polls.py
@@ -150,7 +150,7 @@
         suspected = self._suspected.get(name)
         if suspected is None:
             return False
-        if self._state.views[name].seen_at > suspected:
+        if self._state.views[name].last_answer_at > suspected:
             del self._suspected[name]
             return False
         return True
@@ -166,7 +166,7 @@
 
     def _send(self, conn: _pool.Conn, now: float) -> None:
         deadline = now + self._state.cfg.suspect_after_s
-        self._state.run(conn, _jobs.StatusJob(), None, deadline, now)
+        self._state.start_job(conn, _jobs.StatusJob(), None, deadline, now)
 
     def _open_first(self, name: str, now: float) -> None:
         """Open a connection for polling where there is none at all."""
--- a/src/tidegrade/core/_reads.py
+++ b/src/tidegrade/core/_reads.py
@@ -100,7 +100,7 @@
         if isinstance(outcome, _jobs.JobFailed):
             return self._failed(pending, conn, outcome, now)
         self._registry.service.served(now - sent_at)
-        self._state.views[conn.endpoint].served(now - sent_at, now)
+        self._state.views[conn.endpoint].record_read(now - sent_at, now)
         if not self._checked and not self._satisfies(
             pending, conn, outcome, now
         ):
@@ -127,7 +127,7 @@
     ) -> Placement:
         pending.waiting_for = _types.Code.NO_PRIMARY
         pending.not_before = now + ROW_RETRY
-        self._state.order(_events.FetchRow())
+        self._state.emit(_events.FetchRow())
         return Placement.PARKED
 
     def _floor_problem(
@@ -184,11 +184,11 @@
         if state.row is None or name == state.row.primary:
             return False
         view = state.views[name]
-        if not state.takes_work(name, now):
+        if not state.accepts_requests(name, now):
             return False
         if self._checked:
             return not view.failures
-        if not state.on_history(name):
+        if not state.has_current_term(name):
             return False
         return now - view.sent_at < REPORT_LIFE and not view.failures
 
@@ -199,7 +199,7 @@
         view = state.views[name]
         endpoint = state.cfg.endpoints[name]
         applied = -1
-        if view.report is not None and state.on_history(name):
+        if view.report is not None and state.has_current_term(name):
             applied = view.report.lsn
         return _routing.ReplicaState(
             name=name,
@@ -246,7 +246,7 @@
         pending.waiting_for = _types.Code.NO_PRIMARY
         if pending.req.max_age is not None:
             pending.waiting_for = _types.Code.TOO_STALE
-        if not self._state.primary_takes_work(now):
+        if not self._state.primary_accepts_requests(now):
             pending.needs_permission = True
             return Placement.PRIMARY
         undated = self._checked and need.max_age is not None
@@ -278,7 +278,7 @@
         pending.tries += 1
         job = self._job(pending, conn, need)
         limit = min(pending.req.deadline, now + pending.req.attempt_limit)
-        self._state.run(conn, job, pending, limit, now)
+        self._state.start_job(conn, job, pending, limit, now)
         return Placement.TAKEN
 
     def _job(
@@ -318,7 +318,7 @@
         if failed.failure in NOT_RUN:
             pending.waiting_for = NOT_RUN[failed.failure]
             if failed.failure is _jobs.Failure.BEHIND:
-                self._state.views[conn.endpoint].lacked(now)
+                self._state.views[conn.endpoint].record_behind(now)
             self._missed(pending, now)
             return True
         if not timeout and not self._speaks_for(conn.endpoint, pending):
@@ -366,7 +366,7 @@
         state = self._state
         row = state.row
         if row is None or not state.is_current(conn.endpoint, done.report):
-            state.order(_events.FetchRow())
+            state.emit(_events.FetchRow())
             return False
         floor = self._floor(row, pending)
         if floor.is_err() or done.report.lsn < floor.unwrap():
--- a/src/tidegrade/core/_registry.py
+++ b/src/tidegrade/core/_registry.py
@@ -46,7 +46,7 @@
         """Return an unanswered request, or None if there is none."""
         return self._open.get(req_id)
 
-    def unanswered(self, pending: _pending.Pending) -> bool:
+    def is_unanswered(self, pending: _pending.Pending) -> bool:
         """Return whether a request has not been answered."""
         return pending.req.id in self._open
 
@@ -58,7 +58,7 @@
             if p.req.deadline <= now or (not p.tries and p.req.place_by <= now)
         ]
 
-    def without_prospect(self, now: float) -> list[_pending.Pending]:
+    def unservable(self, now: float) -> list[_pending.Pending]:
         """Return requests that can't get the permission within their limits.
 
         The expected time of the permission is later than their ``deadline``
@@ -80,7 +80,7 @@
     def answer(self, pending: _pending.Pending, answer: _types.Answer) -> None:
         """Send the final answer; a second one violates an invariant."""
         _types.invariant(
-            self.unanswered(pending), 'request was already answered'
+            self.is_unanswered(pending), 'request was already answered'
         )
         _types.invariant(
             answer.outcome is not _types.Outcome.NOT_RUN
@@ -89,7 +89,7 @@
         )
         del self._open[pending.req.id]
         traced = attrs.evolve(answer, trace=self._trace(pending))
-        self._state.order(_events.Reply(pending.req.id, traced))
+        self._state.emit(_events.Reply(pending.req.id, traced))
 
     def _trace(self, pending: _pending.Pending) -> _types.Trace:
         row = self._state.row
@@ -130,7 +130,7 @@
             ),
         )
 
-    def unknown(
+    def answer_unknown(
         self,
         pending: _pending.Pending,
         code: _types.Code,
--- a/src/tidegrade/core/_reports.py
+++ b/src/tidegrade/core/_reports.py
@@ -19,7 +19,7 @@
     permission to acknowledge, the samples of the primary's position, and
     the replication delay of a replica.
     """
-    state.views[name].reported(report, sent_at, now)
+    state.views[name].record_report(report, sent_at, now)
     row = state.row
     if row is None:
         return
@@ -27,11 +27,11 @@
         state.permission.answered(name, report.promised, sent_at)
     promised = report.promised or 0
     if report.marker > row.marker or promised > row.term:
-        state.order(_events.FetchRow())
+        state.emit(_events.FetchRow())
     if not state.is_current(name, report):
         return
     if name == row.primary:
-        state.note_position(sent_at, report.lsn)
+        state.record_position(sent_at, report.lsn)
     else:
         _measure_delay(state, name, report.lsn, sent_at)
 
@@ -66,4 +66,4 @@
     if upper == float('inf'):
         upper = max(lower, view.apply_delay)
     delay = min(max(view.apply_delay, lower), max(upper, 0.0))
-    view.measured_delay(delay)
+    view.record_delay(delay)
--- a/src/tidegrade/core/_sharing.py
+++ b/src/tidegrade/core/_sharing.py
@@ -24,7 +24,7 @@
     names = frozenset(state.cfg.endpoints) - {state.row.primary}
     if not state.settings.traits.fence_stops_replication:
         return names
-    if now - state.term_since < _state.FENCE_KEPT:
+    if now - state.term_since < _state.FENCE_RETENTION_S:
         return frozenset()
     reports = {name: state.views[name].report for name in names}
     return frozenset(
@@ -46,17 +46,17 @@
 
 
 def take_evidence(
-    state: _state.GroupState, event: _events.EvidenceHeard
+    state: _state.GroupState, event: _events.EvidenceReceived
 ) -> None:
     """Take in what another proxy saw, if it is of the same term."""
     heard = event.evidence
     known = state.row.term if state.row is not None else 0
     if heard.term > known:
-        state.order(_events.FetchRow())
+        state.emit(_events.FetchRow())
     if state.row is None or heard.term != known:
         return
     state.row_confirmed(event.asked_at)
     for grant in heard.grants:
         state.permission.answered(grant.member, grant.promised, grant.at)
     if heard.position is not None:
-        state.note_position(heard.position_at, heard.position)
+        state.record_position(heard.position_at, heard.position)
--- a/src/tidegrade/core/_state.py
+++ b/src/tidegrade/core/_state.py
@@ -20,17 +20,17 @@
 #: reads the group's row again before it acknowledges writes. During the
 #: pause the term may have ended and the fences of that change of primary
 #: may have been removed.
-LONGEST_PAUSE = 0.8
+MAX_TRUSTED_PAUSE_S = 0.8
 #: After a pause of the process longer than this, in seconds, overdue
 #: answers don't count as failures of their endpoints. The value is less
 #: than the shortest silence after which an endpoint is considered down, and
 #: more than the usual scheduling delay on a busy VM.
-LONGEST_DELAY = 0.25
+MAX_SCHEDULING_DELAY_S = 0.25
 #: Time to read the answers that arrived during a pause, in seconds.
-READING_TIME = 0.2
+BACKLOG_READ_S = 0.2
 #: How long a fence stays after the next term is published, in seconds. By
 #: then every proxy knows of the term, is paused or is cut off.
-FENCE_KEPT = 1.2
+FENCE_RETENTION_S = 1.2
 #: How long a leaving primary accepts requests while its term is being
 #: ended, in seconds.
 LEAVING_GRACE_S = 1.0
@@ -92,11 +92,11 @@
             views={n: _view.EndpointView(n) for n in cfg.endpoints},
         )
 
-    def order(self, command: _events.Command) -> None:
+    def emit(self, command: _events.Command) -> None:
         """Add a command to the result of the current event."""
         self.commands.append(command)
 
-    def run(
+    def start_job(
         self,
         conn: _pool.Conn,
         job: _jobs.Job,
@@ -111,12 +111,12 @@
         conn.owner = owner
         conn.sent_at = now
         conn.deadline = deadline
-        self.order(_events.RunJob(conn.id, job, deadline))
+        self.emit(_events.RunJob(conn.id, job, deadline))
 
     def open(self, endpoint: str, tenant: str | None, now: float) -> None:
         """Open another connection to an endpoint."""
         conn = self.pool.open(endpoint, tenant, now)
-        self.order(_events.OpenConn(conn.id, endpoint, tenant))
+        self.emit(_events.OpenConn(conn.id, endpoint, tenant))
 
     @property
     def own_tenant(self) -> str | None:
@@ -136,7 +136,7 @@
             conn.state = _pool.ConnState.CLOSING
             conn.job = None
             conn.owner = None
-            self.order(_events.CloseConn(conn.id))
+            self.emit(_events.CloseConn(conn.id))
 
     def may_acknowledge(self, now: float) -> bool:
         """Return whether writes of the current term may be acknowledged."""
@@ -152,7 +152,7 @@
         if self.paused_at is not None and asked_at >= self.paused_at:
             self.paused_at = None
 
-    def note_position(self, at: float, lsn: int) -> None:
+    def record_position(self, at: float, lsn: int) -> None:
         """Record the primary's position for a poll that was sent at ``at``.
 
         If positions restart with each term, position 0 of a later term does
@@ -165,9 +165,9 @@
         if lsn or first_term or not restarts:
             self.samples.add(at, lsn)
 
-    def keep_former(self, row: _row.GroupRow) -> None:
+    def record_former_position(self, row: _row.GroupRow) -> None:
         """Keep the newest position with a known time of a term that ends."""
-        last = self.samples.until(self.permission.covered_until())
+        last = self.samples.newest_until(self.permission.covered_until())
         if last is None:
             return
         if self.former is not None and self.former.at >= last.at:
@@ -175,7 +175,7 @@
         position = _types.Position(row.term, last.lsn)
         self.former = _view.FormerPosition(position, row.marker, last.at)
 
-    def on_history(self, name: str) -> bool:
+    def has_current_term(self, name: str) -> bool:
         """Return whether an endpoint's last report is of the current term."""
         report = self.views[name].report
         return report is not None and self.is_current(name, report)
@@ -193,11 +193,11 @@
             return True
         return report.in_recovery == (name != self.row.primary)
 
-    def takes_work(self, name: str, now: float) -> bool:
+    def accepts_requests(self, name: str, now: float) -> bool:
         """Return whether an endpoint may get callers' requests."""
         return name in self.cfg.endpoints and name not in self.leaving_since
 
-    def primary_takes_work(self, now: float) -> bool:
+    def primary_accepts_requests(self, now: float) -> bool:
         """Return whether the primary is known and may get requests."""
         if self.row is None:
             return False
--- a/src/tidegrade/core/_txns.py
+++ b/src/tidegrade/core/_txns.py
@@ -78,7 +78,7 @@
         req = pending.req
         setup = _setup.setup_for(conn, req, req.statements)
         job = _jobs.StartJob(req.statements, setup=setup)
-        self._state.run(conn, job, pending, req.deadline, now)
+        self._state.start_job(conn, job, pending, req.deadline, now)
         return _reads.Placement.TAKEN
 
     def begun(
@@ -124,7 +124,7 @@
             self._registry.refuse(pending, _FINAL[failure], failed.detail)
             return False
         if failure is _jobs.Failure.NOT_PRIMARY:
-            self._state.order(_events.FetchRow())
+            self._state.emit(_events.FetchRow())
         if failure is _jobs.Failure.BEHIND:
             pending.misses += 1
         code = _reads.NOT_RUN.get(failure, _types.Code.CONN_LOST)
@@ -145,7 +145,7 @@
         name = f'{self._state.settings.proxy_id}~{secret:024x}'
         txn = Transaction(
             name,
-            pending.req.line,
+            pending.req.queue_key,
             conn.id,
             now,
             now,
@@ -160,7 +160,7 @@
     def use(self, pending: _pending.Pending, now: float) -> None:
         """Run a statement, commit or rollback in an open transaction."""
         txn = self._open.get(pending.req.txn)
-        if txn is None or txn.line != pending.req.line:
+        if txn is None or txn.line != pending.req.queue_key:
             self._registry.refuse(
                 pending,
                 _types.Code.TXN_UNKNOWN,
@@ -221,7 +221,7 @@
         pending.sent_to = pending.last_sent_to = conn.endpoint
         pending.tries += 1
         step = TxnStep(txn, pending)
-        self._state.run(conn, job, step, pending.req.deadline, now)
+        self._state.start_job(conn, job, step, pending.req.deadline, now)
 
     def _job_of(
         self, pending: _pending.Pending, conn: _pool.Conn
@@ -285,7 +285,7 @@
             )
             self._registry.refuse(step.pending, code, outcome.detail)
         else:
-            self._registry.unknown(step.pending, _types.Code.CONN_LOST)
+            self._registry.answer_unknown(step.pending, _types.Code.CONN_LOST)
 
     def _answer_read_only(self, step: TxnStep) -> None:
         """End a transaction that wrote nothing: no permission is needed."""
@@ -331,7 +331,7 @@
         if conn is None or conn.state is not _pool.ConnState.PINNED:
             return
         conn.state = _pool.ConnState.IDLE
-        self._state.run(
+        self._state.start_job(
             conn, _jobs.RollbackJob(), None, now + _writes.SETTLE_TIME, now
         )
 
--- a/src/tidegrade/core/_types.py
+++ b/src/tidegrade/core/_types.py
@@ -155,7 +155,7 @@
     caller: str = ''
 
     @property
-    def line(self) -> str:
+    def queue_key(self) -> str:
         """The key under which the request is queued: tenant or caller."""
         return self.tenant or self.caller
 
--- a/src/tidegrade/core/_view.py
+++ b/src/tidegrade/core/_view.py
@@ -35,7 +35,7 @@
     name: str
     report: _types.EndpointReport | None = None
     sent_at: float = float('-inf')
-    seen_at: float = float('-inf')
+    last_answer_at: float = float('-inf')
     failures: int = 0
     first_failure: float = float('inf')
     refused: bool = False
@@ -47,14 +47,14 @@
     followed_at: float = float('-inf')
     leaving: bool = False
 
-    def reported(
+    def record_report(
         self, report: _types.EndpointReport, sent_at: float, now: float
     ) -> None:
         """Record an answer; only the newest report is kept."""
         self.failures = 0
         self.refused = False
         self.first_failure = float('inf')
-        self.seen_at = max(self.seen_at, now)
+        self.last_answer_at = max(self.last_answer_at, now)
         took = now - sent_at
         self.round_trip += EWMA_WEIGHT * (took - self.round_trip)
         if sent_at >= self.sent_at:
@@ -62,16 +62,16 @@
             self.report = self._fill_in(report)
             self.sent_at = sent_at
 
-    def answered_full(self, now: float) -> None:
+    def record_full(self, now: float) -> None:
         """Record that the endpoint accepts no more connections.
 
         The refusal shows that the endpoint is up. Without this, a healthy
         primary would count as down after a restart of all proxies, and it
         would be replaced.
         """
-        self.excuse(now)
+        self.reset_failures(now)
 
-    def excuse(self, now: float) -> None:
+    def reset_failures(self, now: float) -> None:
         """Reset the failures and measure the silence from ``now``.
 
         Answers could not be received before ``now``.
@@ -79,7 +79,7 @@
         self.failures = 0
         self.refused = False
         self.first_failure = float('inf')
-        self.seen_at = max(self.seen_at, now)
+        self.last_answer_at = max(self.last_answer_at, now)
 
     def _note_role(
         self, report: _types.EndpointReport, sent_at: float
@@ -101,24 +101,24 @@
             received_lsn=max(report.received_lsn, known.received_lsn),
         )
 
-    def failed(self, refused: bool, now: float) -> None:
+    def record_failure(self, refused: bool, now: float) -> None:
         """Record a failed attempt to open a connection or get a report."""
         self.failures += 1
         self.refused = refused
         self.first_failure = min(self.first_failure, now)
 
-    def served(self, took: float, now: float) -> None:
+    def record_read(self, took: float, now: float) -> None:
         """Record the duration of a read on this endpoint, in seconds."""
         if not self.read_time:
             self.read_time = took
         self.read_time += EWMA_WEIGHT * (took - self.read_time)
         self.read_at = now
 
-    def lacked(self, now: float) -> None:
+    def record_behind(self, now: float) -> None:
         """Record that the endpoint lacked the data that a read required."""
         self.behind_until = now + BEHIND_PAUSE_S
 
-    def measured_delay(self, delay: float) -> None:
+    def record_delay(self, delay: float) -> None:
         """Record how far this replica was behind the primary, in seconds."""
         self.apply_delay += EWMA_WEIGHT * (delay - self.apply_delay)
 
@@ -180,7 +180,7 @@
                 return sample.at
         return float('-inf')
 
-    def since(self, at: float) -> Sample | None:
+    def oldest_since(self, at: float) -> Sample | None:
         """Return the oldest sample taken at ``at`` or later."""
         found = None
         for sample in reversed(self._samples):
@@ -189,7 +189,7 @@
             found = sample
         return found
 
-    def until(self, at: float) -> Sample | None:
+    def newest_until(self, at: float) -> Sample | None:
         """Return the newest sample taken at ``at`` or earlier."""
         for sample in reversed(self._samples):
             if sample.at <= at:
--- a/src/tidegrade/core/_writes.py
+++ b/src/tidegrade/core/_writes.py
@@ -55,7 +55,7 @@
         if conn is None:
             return _reads.Placement.BLOCKED
         job = self._job(pending, conn)
-        self._state.run(conn, job, pending, pending.req.deadline, now)
+        self._state.start_job(conn, job, pending, pending.req.deadline, now)
         return _reads.Placement.TAKEN
 
     def primary_conn(
@@ -65,7 +65,7 @@
         state = self._state
         pending.waiting_for = _types.Code.NO_PRIMARY
         pending.needs_permission = True
-        if state.row is None or not state.primary_takes_work(now):
+        if state.row is None or not state.primary_accepts_requests(now):
             return None
         if not state.may_acknowledge(now):
             return None
@@ -141,7 +141,7 @@
             return self.unsettled(pending, _types.Code.CONN_LOST, now)
         pending.commit_sent = False
         if failed.failure in _reads.NOT_RUN:
-            self._state.order(_events.FetchRow())
+            self._state.emit(_events.FetchRow())
             return self.again(pending, _reads.NOT_RUN[failed.failure], now)
         self._registry.refuse(
             pending, _types.Code.STATEMENT_FAILED, failed.detail
@@ -207,9 +207,9 @@
     ) -> bool:
         """Handle a write that may have committed: find out, or say so."""
         pending.commit_sent = True
-        if pending.repeatable:
+        if pending.safe_to_retry:
             return self.again(pending, code, now)
-        self._registry.unknown(pending, code)
+        self._registry.answer_unknown(pending, code)
         return False
 
     def again(
@@ -234,7 +234,7 @@
             return False
         if self._state.is_current(conn.endpoint, done.report):
             return True
-        self._state.order(_events.FetchRow())
+        self._state.emit(_events.FetchRow())
         return False
 
     def roll_back(
@@ -243,7 +243,7 @@
         """Undo what was started on a connection, unless nothing was."""
         if done.replayed:
             return
-        self._state.run(
+        self._state.start_job(
             conn, _jobs.RollbackJob(), None, now + SETTLE_TIME, now
         )
 
@@ -255,7 +255,7 @@
         if not req.autocommit:
             return attrs.evolve(self._start_job(pending), setup=setup)
         _types.invariant(
-            not pending.commit_sent or pending.repeatable,
+            not pending.commit_sent or pending.safe_to_retry,
             'a write that may have run was sent again',
         )
         pending.commit_sent = True
@@ -273,7 +273,7 @@
         pending.sent_to = conn.endpoint
         job = _jobs.CommitJob(pending.req.key, pending.results)
         deadline = max(pending.req.deadline, now + SETTLE_TIME / 10)
-        self._state.run(conn, job, pending, deadline, now)
+        self._state.start_job(conn, job, pending, deadline, now)
 
     def _start_failed(
         self,
--- a/src/tidegrade/daemon/_evidence_task.py
+++ b/src/tidegrade/daemon/_evidence_task.py
@@ -80,7 +80,7 @@
             group = groups.get(seen.key)
             if group is not None:
                 evidence = core.shifted(seen.evidence, asked_at)
-                group.post(core.EvidenceHeard(evidence, asked_at))
+                group.post(core.EvidenceReceived(evidence, asked_at))
 
 
 def _aged(group: _group_task.GroupTask, now: float) -> core.Evidence:
--- a/src/tidegrade/daemon/_group_task.py
+++ b/src/tidegrade/daemon/_group_task.py
@@ -132,7 +132,7 @@
         try:
             await waiter.done.wait()
         except anyio.get_cancelled_exc_class():
-            self.post(core.RequestDropped(req.id))
+            self.post(core.RequestCancelled(req.id))
             raise
         finally:
             self._waiters.pop(req.id, None)
@@ -229,14 +229,14 @@
 
     def _note_pause(self, seconds: float, planned: float) -> None:
         """Tell the machines if this process has stood still."""
-        if seconds - planned <= core.LONGEST_DELAY:
+        if seconds - planned <= core.MAX_SCHEDULING_DELAY_S:
             return
         logs.write_bounded(
             logs.LogEvent.PAUSED,
             group=str(self.key),
             seconds=round(seconds, 3),
         )
-        self._handle(core.Paused(seconds))
+        self._handle(core.ProcessPaused(seconds))
         self._handle(supervision.Woke())
 
     def _longest_tick(self) -> float:
@@ -254,7 +254,7 @@
             return
         for command in self.machine.handle(event, now):
             self._orders[type(command)](command)
-        if isinstance(event, core.RowSeen):
+        if isinstance(event, core.RowReceived):
             self._log_term()
 
     def _log_term(self) -> None:
@@ -312,7 +312,7 @@
             return
         others = self._peers.opinions(self.key)
         if any(o.primary_down and o.term == row.term for o in others):
-            self._handle(core.Suspected(row.primary))
+            self._handle(core.EndpointSuspected(row.primary))
 
     def _is_first(self) -> bool:
         """Tell whether this proxy does what one does for the others."""
@@ -342,7 +342,7 @@
             failures=view.failures,
             refused=view.refused,
             follows=view.report is not None and view.report.in_recovery,
-            silent_ms=_ms_since(view.seen_at, now),
+            silent_ms=_ms_since(view.last_answer_at, now),
             connections=self.machine.conn_count(row.primary),
             unanswered_ms=_ms_since(
                 self.machine.unanswered_since(row.primary), now
@@ -357,14 +357,14 @@
     def _poll_for_peers(self, wanted: bool) -> None:
         if wanted != self._polls_for_peers:
             self._polls_for_peers = wanted
-            self._handle(core.PollsForPeers(wanted))
+            self._handle(core.PollingDutyChanged(wanted))
 
     def _own_opinion(self, now: float) -> core.Opinion:
         row = self.machine.row
         proxy = self._deps.proxy_id
         if row is None or row.primary not in self.machine.views:
             return core.Opinion(proxy, 0, False)
-        down = self.machine.finds_primary_down(now)
+        down = self.machine.considers_primary_down(now)
         return core.Opinion(proxy, row.term, down)
 
     # Commands of the group machine ----------------------------------------
@@ -447,13 +447,13 @@
     def _run_control(self, order: supervision.RunControl) -> None:
         # Not posted: it must not be handled after it has been recalled.
         self._handle(
-            core.ControlAsked(
+            core.ControlRequested(
                 order.control, order.endpoint, order.job, order.deadline
             )
         )
 
     def _recall_controls(self, _: supervision.RecallControls) -> None:
-        self._handle(core.ControlsRecalled())
+        self._handle(core.ControlsCancelled())
 
     def _ask_give_up(self, order: supervision.AskGiveUp) -> None:
         for proxy in order.proxies:
@@ -471,7 +471,7 @@
             self.post(supervision.GaveUp(answer.proxy, answer.below))
 
     def _announce(self, order: supervision.Announce) -> None:
-        self.post(core.RowSeen(order.row))
+        self.post(core.RowReceived(order.row))
         self._peers.announce(
             messages.RowNews(self.key, _rows.encode_row(order.row))
         )
--- a/src/tidegrade/daemon/_quotas.py
+++ b/src/tidegrade/daemon/_quotas.py
@@ -66,7 +66,7 @@
             await anyio.sleep(LOOK)
             now = self._clock.now()
             late = now - last - LOOK
-            if late > core.LONGEST_DELAY:
+            if late > core.MAX_SCHEDULING_DELAY_S:
                 self._keeper.paused(late)
             last = now
             self.look()
--- a/src/tidegrade/daemon/_row_task.py
+++ b/src/tidegrade/daemon/_row_task.py
@@ -97,7 +97,7 @@
         row = self._decoded(answer)
         if row is not None:
             self._known = row[0]
-            self._post(core.RowSeen(row[0], asked_at))
+            self._post(core.RowReceived(row[0], asked_at))
         return answer.is_ok()
 
     async def _carry_out(self, order: supervision.SupervisorCommand) -> None:
--- a/src/tidegrade/http_proxy/_proxy.py
+++ b/src/tidegrade/http_proxy/_proxy.py
@@ -235,7 +235,7 @@
                 for name, endpoint in group.machine.cfg.endpoints.items()
                 if (endpoint.host, endpoint.port) in self._leaving
             )
-            group.post(core.LeavingChanged(names))
+            group.post(core.LeavingEndpointsChanged(names))
 
     # Peers ----------------------------------------------------------------
 
@@ -289,7 +289,7 @@
         group = self._service.groups.get(body.key)
         row = _rows.decode_row(body.row)
         if group is not None and row.is_ok():
-            group.post(core.RowSeen(row.unwrap()))
+            group.post(core.RowReceived(row.unwrap()))
 
     # HTTP -----------------------------------------------------------------
 
--- a/src/tidegrade/session_proxy/_peer_service.py
+++ b/src/tidegrade/session_proxy/_peer_service.py
@@ -122,4 +122,4 @@
                 reason=row.unwrap_err(),
             )
             return
-        group.post(core.RowSeen(row.unwrap()))
+        group.post(core.RowReceived(row.unwrap()))
--- a/src/tidegrade/session_proxy/_proxy.py
+++ b/src/tidegrade/session_proxy/_proxy.py
@@ -308,7 +308,7 @@
             permitted=permitted,
         )
         for group in self._groups.values():
-            group.post(core.CutOff(cut_off))
+            group.post(core.CutOffChanged(cut_off))
 
     def _ready(self) -> bool:
         if self._stopping.is_set() or self._catalogue is None:
@@ -395,7 +395,9 @@
                 self._start_group(key, cfg)
             group = self._groups[key]
             group.set_config(cfg, 0, self._sharers(entry.name, cfg))
-            group.post(core.LeavingChanged(self._list.leaving(entry.name)))
+            group.post(
+                core.LeavingEndpointsChanged(self._list.leaving(entry.name))
+            )
             group.gone = self._list.gone(entry.name)
 
     def _sharers(self, name: str, cfg: config.Group) -> int:
--- a/standins/tidegrade_fakes/_world.py
+++ b/standins/tidegrade_fakes/_world.py
@@ -193,7 +193,7 @@
         if self._traits.promotion_clears_promises:
             # The daemon tells the machines of every pause; the histories
             # of PostgreSQL's endpoints prove that safety needs none.
-            self.handle(core.Paused(seconds))
+            self.handle(core.ProcessPaused(seconds))
             self.handle(supervision.Woke())
         backlog, self._backlog = self._backlog, []
         for action in backlog:
@@ -252,7 +252,7 @@
         row = self.machine.row
         if row is None:
             return core.Opinion(self.name, 0, False)
-        down = self.machine.finds_primary_down(self.clock())
+        down = self.machine.considers_primary_down(self.clock())
         return core.Opinion(self.name, row.term, down)
 
     # Requests -------------------------------------------------------------
@@ -457,13 +457,13 @@
         self._heard[opinion.proxy] = (self.world.now, opinion)
 
     def _announce(self, order: supervision.Announce) -> None:
-        event = core.RowSeen(order.row)
+        event = core.RowReceived(order.row)
         self.world.at(0.0, lambda: self.do(lambda: self.handle(event)))
         for peer in self._peers():
             self._tell(peer, functools.partial(peer.handle, event))
 
     def _recall_controls(self, _: supervision.RecallControls) -> None:
-        event = core.ControlsRecalled()
+        event = core.ControlsCancelled()
         self.world.at(0.0, lambda: self.do(lambda: self.handle(event)))
 
     def _ask_give_up(self, order: supervision.AskGiveUp) -> None:
@@ -558,7 +558,7 @@
     def _fetched(self, row: core.GroupRow | None, asked_at: float) -> None:
         self._row_wanted = False
         if row is not None:
-            self.handle(core.RowSeen(row, asked_at))
+            self.handle(core.RowReceived(row, asked_at))
 
     def _lost(self) -> None:
         self.handle(supervision.RowLost())
@@ -612,7 +612,7 @@
         self._ask_table(read, self._lost)
 
     def _run_control(self, order: supervision.RunControl) -> None:
-        event = core.ControlAsked(
+        event = core.ControlRequested(
             order.control, order.endpoint, order.job, order.deadline
         )
         self.world.at(0.0, lambda: self.do(lambda: self.handle(event)))
--- a/tests/core/machines.py
+++ b/tests/core/machines.py
@@ -29,7 +29,7 @@
         traits: core.Traits | None = None,
         domains: dict[str, str] | None = None,
         max_connections: int = 2,
-        sharers: int = 1,
+        max_proxies: int = 1,
     ) -> None:
         domain_of = domains or {}
         cfg = config.Group(
@@ -42,7 +42,7 @@
             initial_primary='a',
         )
         settings = core.MachineSettings(
-            'p1', 'x', sharers, traits or core.Traits()
+            'p1', 'x', max_proxies, traits or core.Traits()
         )
         self.core = core.GroupMachine(cfg, settings, random.Random(1))
         self.now = 50.0
@@ -72,7 +72,7 @@
         #: A supervisor's jobs that have ended.
         self.ended: list[core.ControlEnded] = []
         self.tell(core.Registered(True))
-        self.tell(core.RowSeen(ROW))
+        self.tell(core.RowReceived(ROW))
         for _ in range(3):
             self.tick()
 
@@ -140,7 +140,7 @@
                 200, marker=2, promised=2, in_recovery=name != 'b'
             )
         row = core.GroupRow(2, 'b', frozenset(NAMES), (core.Fork(1, 100),))
-        self.tell(core.RowSeen(row))
+        self.tell(core.RowReceived(row))
 
     def read(self, req_id: int, **changes) -> None:
         fields = {
--- a/tests/core/test_checked_reads.py
+++ b/tests/core/test_checked_reads.py
@@ -120,10 +120,10 @@
 
 def test_a_process_that_stood_still_asks_for_the_row_first(checking):
     assert checking.core.may_acknowledge(checking.now)
-    checking.tell(core.Paused(2.0))
-    checking.tell(core.RowSeen(machines.ROW, checking.now - 1.0))
+    checking.tell(core.ProcessPaused(2.0))
+    checking.tell(core.RowReceived(machines.ROW, checking.now - 1.0))
     assert not checking.core.may_acknowledge(checking.now)
-    checking.tell(core.RowSeen(machines.ROW, checking.now))
+    checking.tell(core.RowReceived(machines.ROW, checking.now))
     assert checking.core.may_acknowledge(checking.now)
 
 
@@ -135,7 +135,7 @@
     view = checking.core.views['a']
     assert not core.is_down(view, checking.core.cfg, checking.now)
     checking.now += 2.0
-    checking.tell(core.Paused(2.0))
+    checking.tell(core.ProcessPaused(2.0))
     checking.tick(0.0)
     assert not core.is_down(view, checking.core.cfg, checking.now)
 
@@ -144,7 +144,7 @@
     checking.frozen = set(machines.NAMES)
     checking.read(1, max_age=0.0, attempt_limit=0.5)
     checking.now += 0.7
-    checking.tell(core.Paused(0.7))
+    checking.tell(core.ProcessPaused(0.7))
     checking.tick(0.0)
     (conn,) = [
         conn
@@ -161,7 +161,7 @@
     for _ in range(20):
         checking.tick()
     assert checking.core.to_follow(checking.now) == frozenset()
-    checking.tick(_state.FENCE_KEPT)
+    checking.tick(_state.FENCE_RETENTION_S)
     assert checking.core.to_follow(checking.now) == {'a', 'c'}
 
 
@@ -186,7 +186,7 @@
         core.MemberGrant(name, 0, checking.now - 0.4) for name in 'ab'
     )
     heard = core.Evidence(1, grants, 100, checking.now - 0.4)
-    checking.tell(core.EvidenceHeard(heard, checking.now))
+    checking.tell(core.EvidenceReceived(heard, checking.now))
     assert checking.core.may_acknowledge(checking.now + 0.5)
     assert not checking.core.may_acknowledge(checking.now + 0.7)
 
@@ -194,7 +194,7 @@
 def test_members_that_no_list_names_are_left_out_of_polls(checking):
     """Found on a day with restarts while the list lacked a member."""
     row = core.GroupRow(2, 'b', frozenset({'a', 'b', 'gone'}))
-    checking.tell(core.RowSeen(row))
+    checking.tell(core.RowReceived(row))
     checking.tick(1.0)
 
 
@@ -212,7 +212,7 @@
     """Found on days with a change of primary, which served all reads."""
     checking.reports['b'] = machines.report(3, marker=2, in_recovery=False)
     row = core.GroupRow(2, 'b', frozenset(machines.NAMES))
-    checking.tell(core.RowSeen(row))
+    checking.tell(core.RowReceived(row))
     checking.tick()
     checking.jobs.clear()
     checking.read(1, max_age=2.0)
@@ -289,7 +289,7 @@
             0, marker=2, promised=2, in_recovery=name != 'b'
         )
     row = core.GroupRow(2, 'b', frozenset(machines.NAMES))
-    checking.tell(core.RowSeen(row))
+    checking.tell(core.RowReceived(row))
     for _ in range(60):
         checking.tick()
     checking.jobs.clear()
--- a/tests/core/test_deposed.py
+++ b/tests/core/test_deposed.py
@@ -18,8 +18,8 @@
 FENCE = core.FenceJob(4)
 
 
-def asked(machine: machines.Machine, endpoint: str) -> core.ControlAsked:
-    return core.ControlAsked(1, endpoint, FENCE, machine.now + 1.0)
+def asked(machine: machines.Machine, endpoint: str) -> core.ControlRequested:
+    return core.ControlRequested(1, endpoint, FENCE, machine.now + 1.0)
 
 
 def poll(machine: machines.Machine) -> None:
@@ -30,13 +30,13 @@
 
 def test_a_primary_that_leads_is_not_down(checking):
     poll(checking)
-    assert not checking.core.finds_primary_down(checking.now)
+    assert not checking.core.considers_primary_down(checking.now)
 
 
 def test_a_primary_that_follows_counts_as_down(checking):
     checking.reports['a'] = machines.report(100)
     poll(checking)
-    assert checking.core.finds_primary_down(checking.now)
+    assert checking.core.considers_primary_down(checking.now)
 
 
 def test_one_that_leads_again_does_not(checking):
@@ -44,7 +44,7 @@
     poll(checking)
     checking.reports['a'] = machines.report(100, in_recovery=False)
     poll(checking)
-    assert not checking.core.finds_primary_down(checking.now)
+    assert not checking.core.considers_primary_down(checking.now)
 
 
 def test_what_it_was_in_the_former_term_does_not_count(checking):
@@ -52,16 +52,16 @@
     poll(checking)
     checking.frozen = {'b'}
     row = core.GroupRow(2, 'b', frozenset(machines.NAMES))
-    checking.tell(core.RowSeen(row))
+    checking.tell(core.RowReceived(row))
     checking.tick(0.01)
-    assert not checking.core.finds_primary_down(checking.now)
+    assert not checking.core.considers_primary_down(checking.now)
 
 
 def test_an_order_under_way_is_taken_back(checking):
     checking.frozen = {'a'}
     checking.tell(asked(checking, 'a'))
     (conn,) = (c for c, job in checking.running.items() if job == FENCE)
-    checking.tell(core.ControlsRecalled())
+    checking.tell(core.ControlsCancelled())
     assert conn in checking.closed
 
 
@@ -74,7 +74,7 @@
             checking.tell(core.ConnClosed(conn))
     checking.tell(asked(checking, endpoint))
     assert (endpoint, FENCE) not in checking.jobs
-    checking.tell(core.ControlsRecalled())
+    checking.tell(core.ControlsCancelled())
     checking.full = set()
     checking.tick(0.5)
     checking.tick(0.1)
--- a/tests/core/test_outlook.py
+++ b/tests/core/test_outlook.py
@@ -52,7 +52,7 @@
 
 
 def test_cut_off_a_request_is_refused_as_soon_as_the_permission_ends(checking):
-    checking.tell(core.CutOff(True))
+    checking.tell(core.CutOffChanged(True))
     ask(checking, 1)
     assert checking.answers[1].outcome is core.Outcome.DONE
     lose_permission(checking, 1.1)
@@ -65,7 +65,7 @@
     checking.tell(core.GiveUp(2))
     attempt = core.Attempt('x', 'p2', 2)
     row = core.GroupRow(1, 'a', frozenset(machines.NAMES), attempt=attempt)
-    checking.tell(core.RowSeen(row))
+    checking.tell(core.RowReceived(row))
     ask(checking, 1)
     assert checking.answers[1].outcome is core.Outcome.NOT_RUN
     near_its_end = _outlook.USUAL_CHANGE - PLACE_WITHIN / 2
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -33,7 +33,7 @@
 
 def keep_informed(machine: machines.Machine) -> None:
     """Leave asking the endpoints to another proxy, as all but one do."""
-    machine.tell(core.PollsForPeers(False))
+    machine.tell(core.PollingDutyChanged(False))
 
 
 def test_reads_return_to_the_near_replica_after_a_lag(spread):
@@ -75,17 +75,17 @@
     keep_informed(spread)
     serve(spread, 2.0)
     slow = spread.core.views['c']
-    spread.core.views['b'].served(0.01, spread.now)
-    slow.served(0.01, spread.now)
+    spread.core.views['b'].record_read(0.01, spread.now)
+    slow.record_read(0.01, spread.now)
     for _ in range(8):
-        slow.served(0.08, spread.now)
+        slow.record_read(0.08, spread.now)
     assert serve(spread, 0.5)[0] == 'b'
 
 
 def test_a_replica_that_was_slow_is_tried_again(spread):
     keep_informed(spread)
     serve(spread, 2.0)
-    spread.core.views['b'].served(0.01, spread.now)
-    spread.core.views['c'].served(9.0, spread.now)
+    spread.core.views['b'].record_read(0.01, spread.now)
+    spread.core.views['c'].record_read(9.0, spread.now)
     assert 'c' not in serve(spread, 0.9)
     assert 'c' in serve(spread, 0.5)
--- a/tests/core/test_reads.py
+++ b/tests/core/test_reads.py
@@ -41,7 +41,7 @@
 
 def test_a_lost_history_is_told(machine):
     row = core.GroupRow(2, 'b', frozenset(machines.NAMES), (core.Fork(1, 90),))
-    machine.tell(core.RowSeen(row))
+    machine.tell(core.RowReceived(row))
     machine.read(1, floor=core.Position(1, 100))
     assert machine.answers[1].code is core.Code.HISTORY_LOST
     assert machine.answers[1].outcome is core.Outcome.NOT_RUN
@@ -56,7 +56,7 @@
         120, marker=2, promised=2, in_recovery=False
     )
     machine.tell(
-        core.RowSeen(
+        core.RowReceived(
             core.GroupRow(
                 2, 'b', frozenset(machines.NAMES), (core.Fork(1, 100),)
             )
@@ -96,7 +96,7 @@
     """The primary is gone and the replicas grow older than the bound."""
     for name in ('b', 'c'):
         machine.reports[name] = machines.report(50)
-    machine.tell(core.LeavingChanged(frozenset({'a'})))
+    machine.tell(core.LeavingEndpointsChanged(frozenset({'a'})))
     for _ in range(120):
         machine.tick()
     machine.read(1, max_age=0.5, deadline=machine.now + 0.2)
--- a/tests/core/test_silent_connections.py
+++ b/tests/core/test_silent_connections.py
@@ -43,7 +43,7 @@
     down = False
     for _ in range(round(seconds / 0.05)):
         machine.tick(0.05)
-        down = down or machine.core.finds_primary_down(machine.now)
+        down = down or machine.core.considers_primary_down(machine.now)
     return down
 
 
@@ -61,7 +61,7 @@
 
 def test_one_that_asks_for_itself_only_does_not_find_it_down(shared):
     """It last heard the endpoints long before its connections went silent."""
-    shared.tell(core.PollsForPeers(False))
+    shared.tell(core.PollingDutyChanged(False))
     rest(shared, 0.5)
     shared.go_silent()
     assert not rest(shared, 3.0)
--- a/tests/core/test_tenant_connections.py
+++ b/tests/core/test_tenant_connections.py
@@ -95,7 +95,9 @@
     The process ended by itself with KeyError as it looked up how many
     attempts to connect that endpoint bears.
     """
-    order = core.ControlAsked(1, 'gone', core.StatusJob(), machine.now + 0.1)
+    order = core.ControlRequested(
+        1, 'gone', core.StatusJob(), machine.now + 0.1
+    )
     machine.tell(order)
     machine.tick(0.2)
     ended = [c for c in machine.ended if c.control == 1]
--- a/tests/core/test_tenant_homes.py
+++ b/tests/core/test_tenant_homes.py
@@ -25,7 +25,7 @@
     """Replay the load; give how many connections were opened."""
     rng = random.Random(7)
     served = {
-        home: machines.Machine(TRAITS, max_connections=29, sharers=3)
+        home: machines.Machine(TRAITS, max_connections=29, max_proxies=3)
         for home in HOMES
     }
     names = [f't{n}' for n in range(TENANTS)]
--- a/tests/proofs/test_guards.py
+++ b/tests/proofs/test_guards.py
@@ -83,5 +83,7 @@
         pending.commit_sent = False
         self.refuse(pending, code, detail)
 
-    monkeypatch.setattr('tidegrade.core._registry.Registry.unknown', careless)
+    monkeypatch.setattr(
+        'tidegrade.core._registry.Registry.answer_unknown', careless
+    )
     assert 'refused as not run' in first_violation(**hard_cuts)
