--- a/src/tidegrade/core/_detector.py
+++ b/src/tidegrade/core/_detector.py
@@ -23,7 +23,7 @@
     """
     if not view.failures:
         return False
-    last_answer_at = max(view.seen_at, float('-inf'))
+    last_answer_at = max(view.last_answer_at, float('-inf'))
     if last_answer_at == float('-inf'):
         last_answer_at = view.first_failure
     unanswered = now - last_answer_at
--- a/src/tidegrade/core/_group.py
+++ b/src/tidegrade/core/_group.py
@@ -1,7 +1,7 @@
-"""The group machine: every decision a proxy takes for one group.
+"""The state machine that makes a proxy's decisions for one group.
 
-It has no socket, clock, task or random source of its own. Whoever drives
-it passes each event with the time and carries out the commands it gives.
+It has no socket, clock, task or random source of its own. The driver passes
+each event with the current time and carries out the returned commands.
 """
 
 import random
@@ -32,7 +32,7 @@
 from tidegrade.core import _view
 from tidegrade.core import _writes
 
-#: Jobs that only a primary runs for callers.
+#: Jobs for callers that only a primary runs.
 _WRITING = (
     _jobs.WriteJob,
     _jobs.StartJob,
@@ -46,7 +46,7 @@
 
 
 class GroupMachine:
-    """Takes one event and the time, gives the commands that follow."""
+    """Turns each event and its time into commands for the driver."""
 
     def __init__(
         self,
@@ -71,59 +71,59 @@
         self._controls = _controls.Controls(state)
         self._handlers: dict[type, typing.Callable[..., None]] = {
             _events.RequestArrived: self._request_arrived,
-            _events.RequestDropped: self._request_dropped,
+            _events.RequestCancelled: self._request_cancelled,
             _events.ConnOpened: self._conn_opened,
             _events.ConnClosed: self._conn_closed,
             _events.JobEnded: self._job_ended,
-            _events.RowSeen: self._row_seen,
+            _events.RowReceived: self._row_received,
             _events.ConfigChanged: self._config_changed,
             _events.GiveUp: self._give_up,
-            _events.CutOff: self._cut_off,
+            _events.CutOffChanged: self._cut_off_changed,
             _events.Registered: self._registered,
-            _events.ControlAsked: self._control_asked,
-            _events.ControlsRecalled: self._controls_recalled,
-            _events.LeavingChanged: self._leaving_changed,
-            _events.EvidenceHeard: self._evidence_heard,
-            _events.Paused: self._paused,
-            _events.PollsForPeers: self._polls_for_peers,
-            _events.Suspected: self._suspected,
+            _events.ControlRequested: self._control_requested,
+            _events.ControlsCancelled: self._controls_cancelled,
+            _events.LeavingEndpointsChanged: self._leaving_endpoints_changed,
+            _events.EvidenceReceived: self._evidence_received,
+            _events.ProcessPaused: self._process_paused,
+            _events.PollingDutyChanged: self._polling_duty_changed,
+            _events.EndpointSuspected: self._endpoint_suspected,
             _events.DrainStarted: self._drain_started,
             _events.Tick: self._tick,
         }
 
-    # What others may look at ----------------------------------------------
+    # Queries --------------------------------------------------------------
 
     @property
     def row(self) -> _row.GroupRow | None:
-        """Give the newest row seen."""
+        """The newest known row of the group, or None."""
         return self._state.row
 
     @property
     def views(self) -> dict[str, _view.EndpointView]:
-        """Give what is known of each endpoint."""
+        """The view of each endpoint by its name."""
         return self._state.views
 
     @property
     def cfg(self) -> config.Group:
-        """Give the configuration in force."""
+        """The configuration in force."""
         return self._state.cfg
 
     @property
     def waiting(self) -> int:
-        """Give how many requests wait for a connection."""
+        """The number of requests that wait for a connection."""
         return self._dispatcher.waiting
 
     @property
     def transactions(self) -> int:
-        """Give how many interactive transactions are open."""
+        """The number of open interactive transactions."""
         return len(self._txns)
 
     def conn_count(self, endpoint: str) -> int:
-        """Give how many connections to an endpoint are held."""
+        """Return the number of connections to an endpoint."""
         return len(self._state.pool.of(endpoint))
 
-    def finds_primary_down(self, now: float) -> bool:
-        """Tell whether the primary seems to have failed, seen from here."""
+    def considers_primary_down(self, now: float) -> bool:
+        """Return whether this proxy considers the primary down."""
         state = self._state
         if state.row is None or state.row.primary not in state.views:
             return False
@@ -133,52 +133,55 @@
         return _detector.is_down(view, state.cfg, now)
 
     def unanswered_since(self, endpoint: str) -> float | None:
-        """Give when the oldest job without an answer was sent there."""
+        """Return when the oldest unanswered job was sent to an endpoint.
+
+        It is None if no job is running there.
+        """
         conns = self._state.pool.of(endpoint)
         sent = (conn.sent_at for conn in conns if conn.job is not None)
         return min(sent, default=None)
 
     def reachable(self) -> frozenset[str]:
-        """Give the endpoints that have not failed to answer."""
+        """Return the endpoints whose last attempts have not failed."""
         return _exchange.reachable(self._state)
 
     def to_follow(self, now: float) -> frozenset[str]:
-        """Give the replicas that may not be following the primary."""
+        """Return the replicas that may not be following the primary."""
         return _exchange.to_follow(self._state, now)
 
     def evidence(self) -> _evidence.Evidence:
-        """Give what was seen here, to tell other proxies."""
+        """Return this proxy's evidence, for other proxies."""
         return _exchange.evidence_of(self._state)
 
     def leaving(self, endpoint: str) -> bool:
-        """Tell whether an endpoint is being left."""
+        """Return whether the VM list marks an endpoint as leaving."""
         return endpoint in self._state.leaving_since
 
     def may_acknowledge(self, now: float) -> bool:
-        """Tell whether writes may be acknowledged at ``now``."""
+        """Return whether writes may be acknowledged at ``now``."""
         return self._state.may_acknowledge(now)
 
     def in_use(self) -> bool:
-        """Tell whether a request or transaction is not finished."""
+        """Return whether a request or transaction is unfinished."""
         return bool(len(self._registry) or len(self._txns))
 
     def next_wake(self) -> float:
-        """Give a time by which a tick is wanted."""
+        """Return the time by which the machine needs a tick."""
         return self._dispatcher.next_wake()
 
     def handle(
         self, event: _events.Event, now: float
     ) -> list[_events.Command]:
-        """Take one event at ``now`` and give the commands to carry out."""
+        """Handle an event at ``now`` and return the resulting commands."""
         self._state.now = now
         self._handlers[type(event)](event, now)
         for pending in self._confirmations.take_confirmed():
-            self._retry_if(self._writes.acknowledge(pending, now), pending)
+            self._park_if(self._writes.acknowledge(pending, now), pending)
         if len(self._confirmations):
             self._polls.poll_due(now)
         self._controls.run(now)
         self._dispatcher.dispatch(now)
-        self._refuse_without_prospect(now)
+        self._refuse_unservable(now)
         commands = self._state.commands
         self._state.commands = []
         return commands
@@ -199,8 +202,8 @@
         else:
             self._dispatcher.add(pending, now)
 
-    def _request_dropped(
-        self, event: _events.RequestDropped, now: float
+    def _request_cancelled(
+        self, event: _events.RequestCancelled, now: float
     ) -> None:
         pending = self._registry.get(event.req_id)
         if pending is None or pending.sent_to or pending.commit_sent:
@@ -219,8 +222,8 @@
             return self._txns.place_begin(pending, now)
         return self._writes.place(pending, now)
 
-    def _retry_if(self, again: bool, pending: _pending.Pending) -> None:
-        if again:
+    def _park_if(self, retry: bool, pending: _pending.Pending) -> None:
+        if retry:
             self._dispatcher.park(pending)
 
     # Connections ----------------------------------------------------------
@@ -240,23 +243,23 @@
         if conn.state is _pool.ConnState.OPENING:
             view = self._state.views[conn.endpoint]
             if event.full:
-                view.answered_full(now)
+                view.record_full(now)
             else:
-                view.failed(event.refused, now)
+                view.record_failure(event.refused, now)
         if conn.job is not None:
             lost = _jobs.JobFailed(_jobs.Failure.LOST)
-            self._job_over(conn, lost, now)
+            self._finish_job(conn, lost, now)
         self._txns.conn_lost(conn)
         self._state.pool.closed(conn, now)
 
     def _job_ended(self, event: _events.JobEnded, now: float) -> None:
         conn = self._state.pool.get(event.conn)
         if conn is None or conn.job is None:
-            # It comes after its request was given up: nobody's answer.
+            # The job was abandoned before its outcome arrived.
             return
-        self._job_over(conn, event.outcome, now)
+        self._finish_job(conn, event.outcome, now)
 
-    def _job_over(
+    def _finish_job(
         self, conn: _pool.Conn, outcome: _jobs.JobOutcome, now: float
     ) -> None:
         job, owner, sent_at = conn.job, conn.owner, conn.sent_at
@@ -275,7 +278,7 @@
                     self._state, conn.endpoint, outcome.report, sent_at, now
                 )
             self._job_failed(conn, outcome, now)
-        self._tell_owner(conn, job, owner, outcome, sent_at, now)
+        self._notify_owner(conn, job, owner, outcome, sent_at, now)
 
     def _job_failed(
         self, conn: _pool.Conn, failed: _jobs.JobFailed, now: float
@@ -283,13 +286,14 @@
         view = self._state.views[conn.endpoint]
         lost = failed.failure is _jobs.Failure.LOST
         late = failed.failure is _jobs.Failure.TIMEOUT
-        # An endpoint that has answered elsewhere since is not to blame.
-        if lost or (late and view.seen_at <= conn.sent_at):
-            view.failed(False, now)
+        # A time-out is no failure of an endpoint that has answered on another
+        # connection since the job was sent.
+        if lost or (late and view.last_answer_at <= conn.sent_at):
+            view.record_failure(False, now)
         if not failed.usable:
             self._state.close(conn)
 
-    def _tell_owner(
+    def _notify_owner(
         self,
         conn: _pool.Conn,
         job: _jobs.Job,
@@ -298,16 +302,18 @@
         sent_at: float,
         now: float,
     ) -> None:
-        if isinstance(owner, _events.ControlAsked):
+        if isinstance(owner, _events.ControlRequested):
             ended = _events.ControlEnded(owner.control, conn.endpoint, outcome)
-            self._state.order(ended)
+            self._state.emit(ended)
         elif isinstance(owner, _txns.TxnStep):
             self._txns.step_ended(owner, conn, job, outcome, now)
         elif isinstance(owner, _pending.Pending):
-            again = self._request_step(owner, conn, job, outcome, sent_at, now)
-            self._retry_if(again, owner)
+            retry = self._finish_request_job(
+                owner, conn, job, outcome, sent_at, now
+            )
+            self._park_if(retry, owner)
 
-    def _request_step(
+    def _finish_request_job(
         self,
         pending: _pending.Pending,
         conn: _pool.Conn,
@@ -330,7 +336,7 @@
 
     # The term, the configuration and the peers ----------------------------
 
-    def _row_seen(self, event: _events.RowSeen, now: float) -> None:
+    def _row_received(self, event: _events.RowReceived, now: float) -> None:
         state = self._state
         if event.asked_at is not None:
             state.row_confirmed(event.asked_at)
@@ -342,7 +348,7 @@
         else:
             state.outlook.change_began(now)
         if former is not None and event.row.term > former.term:
-            state.keep_former(former)
+            state.record_former_position(former)
         if former is None or event.row.term > former.term:
             self._new_term(event.row, now)
 
@@ -352,21 +358,22 @@
         self._state.outlook.reset_outage(now)
         self._state.permission.start_term(row.term, rules)
         self._state.samples.clear()
-        self._leave_others(row.primary, now)
+        self._abandon_other_endpoints(row.primary, now)
         self._txns.end_off_primary(row.primary, now)
         for pending in self._confirmations.take_before(row.term):
-            again = self._writes.handle_unknown_outcome(
+            retry = self._writes.handle_unknown_outcome(
                 pending, _types.Code.UNCONFIRMED, now
             )
-            self._retry_if(again, pending)
+            self._park_if(retry, pending)
         self._polls.make_all_due()
         self._polls.poll_due(now)
 
-    def _leave_others(self, primary: str, now: float) -> None:
-        """Give up what runs on endpoints that no longer lead.
+    def _abandon_other_endpoints(self, primary: str, now: float) -> None:
+        """Abandon jobs on endpoints that are no longer the primary.
 
-        A frozen primary would hold its requests until their deadlines.
-        Reads on replicas go on: they are checked when they end.
+        Otherwise a former primary that hangs would block its requests until
+        their deadlines. Reads on replicas continue, because their results
+        are checked when they end.
         """
         for conn in self._state.pool:
             report = self._state.views[conn.endpoint].report
@@ -375,7 +382,7 @@
             writing = isinstance(conn.job, _WRITING)
             if conn.endpoint != primary and (reading or writing):
                 lost = _jobs.JobFailed(_jobs.Failure.LOST)
-                self._job_over(conn, lost, now)
+                self._finish_job(conn, lost, now)
 
     def _config_changed(
         self, event: _events.ConfigChanged, now: float
@@ -394,13 +401,13 @@
 
     def _give_up(self, event: _events.GiveUp, now: float) -> None:
         self._state.permission.give_up(event.below, now)
-        self._state.order(_events.FetchRow())
+        self._state.emit(_events.FetchRow())
 
     def _registered(self, event: _events.Registered, now: float) -> None:
         self._state.registered = event.registered
 
-    def _leaving_changed(
-        self, event: _events.LeavingChanged, now: float
+    def _leaving_endpoints_changed(
+        self, event: _events.LeavingEndpointsChanged, now: float
     ) -> None:
         since = self._state.leaving_since
         for name in event.endpoints:
@@ -409,44 +416,51 @@
             if name not in event.endpoints:
                 del since[name]
 
-    # What other proxies tell ----------------------------------------------
+    # Peers and pauses -----------------------------------------------------
 
-    def _evidence_heard(
-        self, event: _events.EvidenceHeard, now: float
+    def _evidence_received(
+        self, event: _events.EvidenceReceived, now: float
     ) -> None:
         _exchange.apply_evidence(self._state, event)
 
-    def _paused(self, event: _events.Paused, now: float) -> None:
-        self._excuse(now)
+    def _process_paused(
+        self, event: _events.ProcessPaused, now: float
+    ) -> None:
+        self._reset_failure_detection(now)
         self._state.outlook.reset_outage(now)
-        if event.seconds > _state.LONGEST_PAUSE:
+        if event.seconds > _state.MAX_TRUSTED_PAUSE_S:
             self._state.paused_at = now
-            self._state.order(_events.FetchRow())
+            self._state.emit(_events.FetchRow())
 
-    def _excuse(self, now: float) -> None:
-        """Blame nobody for this process's own pause.
+    def _reset_failure_detection(self, now: float) -> None:
+        """Reset failure detection after a pause of this process.
 
-        What endpoints have answered meanwhile is still to be read.
+        Deadlines are extended, because answers that arrived during the
+        pause have not been read yet.
         """
         for view in self._state.views.values():
-            view.excuse(now)
+            view.reset_failures(now)
         for conn in self._state.pool:
             if conn.job is not None:
-                read_by = now + _state.READING_TIME
+                read_by = now + _state.BACKLOG_READ_S
                 conn.deadline = max(conn.deadline, read_by)
             elif conn.state is _pool.ConnState.OPENING:
                 conn.sent_at = now
 
-    def _polls_for_peers(
-        self, event: _events.PollsForPeers, now: float
+    def _polling_duty_changed(
+        self, event: _events.PollingDutyChanged, now: float
     ) -> None:
         self._state.polls_for_peers = event.wanted
 
-    def _suspected(self, event: _events.Suspected, now: float) -> None:
+    def _endpoint_suspected(
+        self, event: _events.EndpointSuspected, now: float
+    ) -> None:
         if event.endpoint in self._state.views:
             self._polls.suspect(event.endpoint, now)
 
-    def _cut_off(self, event: _events.CutOff, now: float) -> None:
+    def _cut_off_changed(
+        self, event: _events.CutOffChanged, now: float
+    ) -> None:
         self._state.outlook.cut_off = event.cut_off
         self._state.outlook.reset_outage(now)
 
@@ -455,11 +469,13 @@
 
     # Supervision ----------------------------------------------------------
 
-    def _control_asked(self, event: _events.ControlAsked, now: float) -> None:
+    def _control_requested(
+        self, event: _events.ControlRequested, now: float
+    ) -> None:
         self._controls.ask(event)
 
-    def _controls_recalled(
-        self, event: _events.ControlsRecalled, now: float
+    def _controls_cancelled(
+        self, event: _events.ControlsCancelled, now: float
     ) -> None:
         self._controls.recall()
 
@@ -469,29 +485,29 @@
         self._close_overdue_conns(now)
         self._txns.expire(now)
         self._refuse_overdue(now)
-        self._give_back_conns(now)
+        self._close_spare_conns(now)
         self._polls.poll_due(now)
 
     def _close_overdue_conns(self, now: float) -> None:
         for conn in self._polls.overdue_openings(now):
-            self._state.views[conn.endpoint].failed(False, now)
+            self._state.views[conn.endpoint].record_failure(False, now)
             self._state.pool.opening_timed_out(conn, now)
             self._state.close(conn)
         for conn in self._state.pool:
             if conn.job is not None and conn.deadline <= now:
                 late = _jobs.JobFailed(_jobs.Failure.TIMEOUT)
-                self._job_over(conn, late, now)
+                self._finish_job(conn, late, now)
 
-    def _give_back_conns(self, now: float) -> None:
+    def _close_spare_conns(self, now: float) -> None:
         for conn in self._state.pool.surplus(now):
             self._state.close(conn)
 
-    def _refuse_without_prospect(self, now: float) -> None:
+    def _refuse_unservable(self, now: float) -> None:
         state = self._state
         state.outlook.observe(state.may_acknowledge(now), now)
-        for pending in self._registry.without_prospect(now):
+        for pending in self._registry.unservable(now):
             self._dispatcher.discard(pending)
-            detail = 'no change in sight before its limit'
+            detail = 'no recovery expected within the time limit'
             self._registry.refuse(pending, pending.waiting_for, detail)
 
     def _refuse_overdue(self, now: float) -> None:
@@ -507,12 +523,12 @@
 
 
 def is_newer(row: _row.GroupRow, known: _row.GroupRow) -> bool:
-    """Tell whether a row is a later state of the group than another."""
+    """Return whether ``row`` is a later state of the group than ``known``."""
     return row_rank(row) > row_rank(known)
 
 
 def row_rank(row: _row.GroupRow) -> tuple[int, int, bool]:
-    """Give a value that rises with each change of a group's row."""
+    """Return a value that increases with each change of a group's row."""
     attempt = row.attempt
     if attempt is None:
         return (row.term, 0, False)
--- a/src/tidegrade/core/_hung_polls.py
+++ b/src/tidegrade/core/_hung_polls.py
@@ -70,7 +70,7 @@
 
         Returns whether a poll of the endpoint is outstanding.
         """
-        heard = self._state.views[name].seen_at
+        heard = self._state.views[name].last_answer_at
         for conn in self._state.pool.of(name):
             silent = conn.job is not None and conn.sent_at > heard
             if silent and self._is_hung(conn, now):
@@ -84,12 +84,12 @@
         if since is None:
             return
         view = self._state.views[name]
-        if view.seen_at >= since:
+        if view.last_answer_at >= since:
             del self._silent_since[name]
             return
         limit = self._state.cfg.suspect_after_s
         if not view.failures and now - since >= limit:
-            view.failed(False, now)
+            view.record_failure(False, now)
 
     def _close_overtaken(self, name: str, now: float) -> None:
         """Close hung connections if a later poll was answered.
--- a/src/tidegrade/core/_needs.py
+++ b/src/tidegrade/core/_needs.py
@@ -132,7 +132,7 @@
             # A failover doesn't wait for a proxy that is not registered, so
             # another endpoint may already be the primary.
             return None
-        sample = self._state.samples.since(at)
+        sample = self._state.samples.oldest_since(at)
         covered = self._state.permission.exclusive_until()
         if sample is None or sample.at > covered:
             return None
--- a/src/tidegrade/core/_txns.py
+++ b/src/tidegrade/core/_txns.py
@@ -87,7 +87,7 @@
         req = pending.req
         setup = _setup.setup_for(conn, req, req.statements)
         job = _jobs.StartJob(req.statements, setup=setup)
-        self._state.run(conn, job, pending, req.deadline, now)
+        self._state.start_job(conn, job, pending, req.deadline, now)
         return _reads.Placement.TAKEN
 
     def begin_ended(
@@ -140,7 +140,7 @@
             )
             return False
         if failure is _jobs.Failure.NOT_PRIMARY:
-            self._state.order(_events.FetchRow())
+            self._state.emit(_events.FetchRow())
         if failure is _jobs.Failure.BEHIND:
             pending.misses += 1
         code = _reads.NOT_RUN_CODES.get(failure, _types.Code.CONN_LOST)
@@ -165,7 +165,7 @@
         name = f'{self._state.settings.proxy_id}~{nonce:024x}'
         txn = Transaction(
             name,
-            pending.req.line,
+            pending.req.queue_key,
             conn.id,
             now,
             now,
@@ -184,7 +184,7 @@
         request is running, is refused.
         """
         txn = self._open.get(pending.req.txn)
-        if txn is None or txn.line != pending.req.line:
+        if txn is None or txn.line != pending.req.queue_key:
             self._registry.refuse(
                 pending,
                 _types.Code.TXN_UNKNOWN,
@@ -245,7 +245,7 @@
         pending.sent_to = pending.last_sent_to = conn.endpoint
         pending.tries += 1
         step = TxnStep(txn, pending)
-        self._state.run(conn, job, step, pending.req.deadline, now)
+        self._state.start_job(conn, job, step, pending.req.deadline, now)
 
     def _job_of(
         self, pending: _pending.Pending, conn: _pool.Conn
@@ -316,7 +316,7 @@
             )
             self._registry.refuse(step.pending, code, outcome.detail)
         else:
-            self._registry.unknown(step.pending, _types.Code.CONN_LOST)
+            self._registry.answer_unknown(step.pending, _types.Code.CONN_LOST)
 
     def _answer_read_only(self, step: TxnStep) -> None:
         """Answer a read-only commit, which needs no permission."""
@@ -367,7 +367,7 @@
         if conn is None or conn.state is not _pool.ConnState.PINNED:
             return
         conn.state = _pool.ConnState.IDLE
-        self._state.run(
+        self._state.start_job(
             conn,
             _jobs.RollbackJob(),
             None,
--- a/src/tidegrade/core/_writes.py
+++ b/src/tidegrade/core/_writes.py
@@ -64,7 +64,7 @@
         if conn is None:
             return _reads.Placement.BLOCKED
         job = self._job(pending, conn)
-        self._state.run(conn, job, pending, pending.req.deadline, now)
+        self._state.start_job(conn, job, pending, pending.req.deadline, now)
         return _reads.Placement.TAKEN
 
     def primary_conn(
@@ -78,7 +78,7 @@
         state = self._state
         pending.waiting_for = _types.Code.NO_PRIMARY
         pending.needs_permission = True
-        if state.row is None or not state.primary_takes_work(now):
+        if state.row is None or not state.primary_accepts_requests(now):
             return None
         if not state.may_acknowledge(now):
             return None
@@ -166,7 +166,7 @@
             )
         pending.commit_sent = False
         if failed.failure in _reads.NOT_RUN_CODES:
-            self._state.order(_events.FetchRow())
+            self._state.emit(_events.FetchRow())
             return self.schedule_retry(
                 pending, _reads.NOT_RUN_CODES[failed.failure], now
             )
@@ -244,9 +244,9 @@
         other gets the outcome ``unknown``.
         """
         pending.commit_sent = True
-        if pending.repeatable:
+        if pending.safe_to_retry:
             return self.schedule_retry(pending, code, now)
-        self._registry.unknown(pending, code)
+        self._registry.answer_unknown(pending, code)
         return False
 
     def schedule_retry(
@@ -277,7 +277,7 @@
             return False
         if self._state.is_current(conn.endpoint, done.report):
             return True
-        self._state.order(_events.FetchRow())
+        self._state.emit(_events.FetchRow())
         return False
 
     def roll_back(
@@ -289,7 +289,7 @@
         """
         if done.replayed:
             return
-        self._state.run(
+        self._state.start_job(
             conn, _jobs.RollbackJob(), None, now + END_TXN_TIMEOUT_S, now
         )
 
@@ -301,7 +301,7 @@
         if not req.autocommit:
             return attrs.evolve(self._start_job(pending), setup=setup)
         _types.invariant(
-            not pending.commit_sent or pending.repeatable,
+            not pending.commit_sent or pending.safe_to_retry,
             'a write that may have run was sent again',
         )
         pending.commit_sent = True
@@ -319,7 +319,7 @@
         pending.sent_to = conn.endpoint
         job = _jobs.CommitJob(pending.req.key, pending.results)
         deadline = max(pending.req.deadline, now + END_TXN_TIMEOUT_S / 10)
-        self._state.run(conn, job, pending, deadline, now)
+        self._state.start_job(conn, job, pending, deadline, now)
 
     def _start_failed(
         self,
--- a/src/tidegrade/daemon/_evidence_task.py
+++ b/src/tidegrade/daemon/_evidence_task.py
@@ -80,7 +80,7 @@
             group = groups.get(seen.key)
             if group is not None:
                 evidence = core.shifted(seen.evidence, requested_at)
-                group.post(core.EvidenceHeard(evidence, requested_at))
+                group.post(core.EvidenceReceived(evidence, requested_at))
 
 
 def _relative_evidence(
--- a/src/tidegrade/daemon/_quotas.py
+++ b/src/tidegrade/daemon/_quotas.py
@@ -74,7 +74,7 @@
             await anyio.sleep(UPDATE_INTERVAL_S)
             now = self._clock.now()
             late = now - last - UPDATE_INTERVAL_S
-            if late > core.LONGEST_DELAY:
+            if late > core.MAX_SCHEDULING_DELAY_S:
                 self._keeper.paused(late)
             last = now
             self.update_proxies()
--- a/src/tidegrade/daemon/_row_task.py
+++ b/src/tidegrade/daemon/_row_task.py
@@ -107,7 +107,7 @@
         row = self._decode(answer)
         if row is not None:
             self._last_read = row[0]
-            self._post(core.RowSeen(row[0], requested_at))
+            self._post(core.RowReceived(row[0], requested_at))
         return answer.is_ok()
 
     async def _execute(self, order: supervision.SupervisorCommand) -> None:
--- a/src/tidegrade/session_proxy/_proxy.py
+++ b/src/tidegrade/session_proxy/_proxy.py
@@ -313,7 +313,7 @@
             permitted=permitted,
         )
         for group in self._groups.values():
-            group.post(core.CutOff(cut_off))
+            group.post(core.CutOffChanged(cut_off))
 
     def _ready(self) -> bool:
         if self._stopping.is_set() or self._catalogue is None:
@@ -405,7 +405,9 @@
             group = self._groups[key]
             group.set_config(cfg, 0, self._sharer_count(entry.name, cfg))
             group.post(
-                core.LeavingChanged(self._group_list.leaving(entry.name))
+                core.LeavingEndpointsChanged(
+                    self._group_list.leaving(entry.name)
+                )
             )
             group.gone = self._group_list.gone(entry.name)
 
--- a/tests/core/machines.py
+++ b/tests/core/machines.py
@@ -1,4 +1,4 @@
-"""A group machine whose connections answer as they are told."""
+"""A group machine with simulated connections for the core's tests."""
 
 import random
 
@@ -22,27 +22,27 @@
 
 
 class Machine:
-    """A group machine whose connections answer as they are told."""
+    """A group machine with connections whose answers a test controls."""
 
     def __init__(
         self,
         traits: core.Traits | None = None,
         domains: dict[str, str] | None = None,
         max_connections: int = 2,
-        sharers: int = 1,
+        max_proxies: int = 1,
     ) -> None:
-        where = domains or {}
+        domain_of = domains or {}
         cfg = config.Group(
             endpoints={
                 name: config.Endpoint(
-                    name, 1, where.get(name, 'x'), max_connections
+                    name, 1, domain_of.get(name, 'x'), max_connections
                 )
                 for name in NAMES
             },
             initial_primary='a',
         )
         settings = core.MachineSettings(
-            'p1', 'x', sharers, traits or core.Traits()
+            'p1', 'x', max_proxies, traits or core.Traits()
         )
         self.core = core.GroupMachine(cfg, settings, random.Random(1))
         self.now = 50.0
@@ -52,32 +52,32 @@
             'c': report(100),
         }
         self.endpoint_of: dict[int, str] = {}
-        #: For whom each connection was opened.
+        #: The tenant for which each connection was opened.
         self.tenant_of: dict[int, str | None] = {}
-        #: Jobs by the connection that they ran on.
+        #: Each job with the connection that it was sent on.
         self.ran: list[tuple[int, core.Job]] = []
         self.answers: dict[int, core.Answer] = {}
         self.frozen: set[str] = set()
         self.failing: set[str] = set()
         self.failures: dict[str, core.JobFailed] = {}
-        #: Connections on which no answer comes any more.
+        #: Connections that answer no more jobs.
         self.silent: set[int] = set()
-        #: Endpoints that take no more connections.
+        #: Endpoints that accept no more connections.
         self.full: set[str] = set()
         self.jobs: list[tuple[str, core.Job]] = []
-        #: Jobs that froze, by their connection.
+        #: Jobs that got no answer, by connection.
         self.running: dict[int, core.Job] = {}
-        #: Connections that the machine has ended.
+        #: Connections that the machine has closed.
         self.closed: set[int] = set()
         #: A supervisor's jobs that have ended.
         self.ended: list[core.ControlEnded] = []
         self.tell(core.Registered(True))
-        self.tell(core.RowSeen(ROW))
+        self.tell(core.RowReceived(ROW))
         for _ in range(3):
             self.tick()
 
     def go_silent(self) -> None:
-        """Let every open connection go silent; new ones work."""
+        """Stop the answers on all open connections; new ones work."""
         self.silent = set(self.endpoint_of) - self.closed
 
     def tick(self, seconds: float = 0.02) -> None:
@@ -134,13 +134,13 @@
         self.tell(core.RequestArrived(req))
 
     def new_term(self) -> None:
-        """Let endpoint b lead term 2."""
+        """Publish term 2 with endpoint b as the primary."""
         for name in NAMES:
             self.reports[name] = report(
                 200, marker=2, promised=2, in_recovery=name != 'b'
             )
         row = core.GroupRow(2, 'b', frozenset(NAMES), (core.Fork(1, 100),))
-        self.tell(core.RowSeen(row))
+        self.tell(core.RowReceived(row))
 
     def read(self, req_id: int, **changes) -> None:
         fields = {
--- a/tests/core/test_deposed.py
+++ b/tests/core/test_deposed.py
@@ -16,8 +16,10 @@
 FENCE = core.FenceJob(4)
 
 
-def control_job(machine: machines.Machine, endpoint: str) -> core.ControlAsked:
-    return core.ControlAsked(1, endpoint, FENCE, machine.now + 1.0)
+def control_job(
+    machine: machines.Machine, endpoint: str
+) -> core.ControlRequested:
+    return core.ControlRequested(1, endpoint, FENCE, machine.now + 1.0)
 
 
 def poll_all(machine: machines.Machine) -> None:
@@ -28,13 +30,13 @@
 
 def test_a_primary_is_not_down(checking):
     poll_all(checking)
-    assert not checking.core.finds_primary_down(checking.now)
+    assert not checking.core.considers_primary_down(checking.now)
 
 
 def test_a_primary_that_became_a_replica_counts_as_down(checking):
     checking.reports['a'] = machines.report(100)
     poll_all(checking)
-    assert checking.core.finds_primary_down(checking.now)
+    assert checking.core.considers_primary_down(checking.now)
 
 
 def test_a_primary_that_is_primary_again_is_not_down(checking):
@@ -42,7 +44,7 @@
     poll_all(checking)
     checking.reports['a'] = machines.report(100, in_recovery=False)
     poll_all(checking)
-    assert not checking.core.finds_primary_down(checking.now)
+    assert not checking.core.considers_primary_down(checking.now)
 
 
 def test_the_role_in_the_former_term_does_not_count(checking):
@@ -50,16 +52,16 @@
     poll_all(checking)
     checking.frozen = {'b'}
     row = core.GroupRow(2, 'b', frozenset(machines.NAMES))
-    checking.tell(core.RowSeen(row))
+    checking.tell(core.RowReceived(row))
     checking.tick(0.01)
-    assert not checking.core.finds_primary_down(checking.now)
+    assert not checking.core.considers_primary_down(checking.now)
 
 
 def test_a_running_control_job_is_cancelled(checking):
     checking.frozen = {'a'}
     checking.tell(control_job(checking, 'a'))
     (conn,) = (c for c, job in checking.running.items() if job == FENCE)
-    checking.tell(core.ControlsRecalled())
+    checking.tell(core.ControlsCancelled())
     assert conn in checking.closed
 
 
@@ -72,7 +74,7 @@
             checking.tell(core.ConnClosed(conn))
     checking.tell(control_job(checking, endpoint))
     assert (endpoint, FENCE) not in checking.jobs
-    checking.tell(core.ControlsRecalled())
+    checking.tell(core.ControlsCancelled())
     checking.full = set()
     checking.tick(0.5)
     checking.tick(0.1)
--- a/tests/core/test_placement.py
+++ b/tests/core/test_placement.py
@@ -37,7 +37,7 @@
 
     Only one proxy of a group polls; the others get its evidence.
     """
-    machine.tell(core.PollsForPeers(False))
+    machine.tell(core.PollingDutyChanged(False))
 
 
 def test_reads_return_to_the_near_replica_after_a_lag(spread):
@@ -90,17 +90,17 @@
     leave_polls_to_a_peer(spread)
     serve(spread, 2.0)
     slow = spread.core.views['c']
-    spread.core.views['b'].served(0.01, spread.now)
-    slow.served(0.01, spread.now)
+    spread.core.views['b'].record_read(0.01, spread.now)
+    slow.record_read(0.01, spread.now)
     for _ in range(8):
-        slow.served(0.08, spread.now)
+        slow.record_read(0.08, spread.now)
     assert serve(spread, 0.5)[0] == 'b'
 
 
 def test_a_replica_that_was_slow_is_tried_again(spread):
     leave_polls_to_a_peer(spread)
     serve(spread, 2.0)
-    spread.core.views['b'].served(0.01, spread.now)
-    spread.core.views['c'].served(9.0, spread.now)
+    spread.core.views['b'].record_read(0.01, spread.now)
+    spread.core.views['c'].record_read(9.0, spread.now)
     assert 'c' not in serve(spread, 0.9)
     assert 'c' in serve(spread, 0.5)
--- a/tests/core/test_reads.py
+++ b/tests/core/test_reads.py
@@ -45,7 +45,7 @@
 
 def test_a_lost_history_is_reported(machine):
     row = core.GroupRow(2, 'b', frozenset(machines.NAMES), (core.Fork(1, 90),))
-    machine.tell(core.RowSeen(row))
+    machine.tell(core.RowReceived(row))
     machine.read(1, floor=core.Position(1, 100))
     assert machine.answers[1].code is core.Code.HISTORY_LOST
     assert machine.answers[1].outcome is core.Outcome.NOT_RUN
@@ -60,7 +60,7 @@
         120, marker=2, promised=2, in_recovery=False
     )
     machine.tell(
-        core.RowSeen(
+        core.RowReceived(
             core.GroupRow(
                 2, 'b', frozenset(machines.NAMES), (core.Fork(1, 100),)
             )
@@ -100,7 +100,7 @@
     """The primary takes no work and the replicas exceed the maximum age."""
     for name in ('b', 'c'):
         machine.reports[name] = machines.report(50)
-    machine.tell(core.LeavingChanged(frozenset({'a'})))
+    machine.tell(core.LeavingEndpointsChanged(frozenset({'a'})))
     for _ in range(120):
         machine.tick()
     machine.read(1, max_age=0.5, deadline=machine.now + 0.2)
--- a/tests/core/test_recovery.py
+++ b/tests/core/test_recovery.py
@@ -52,7 +52,7 @@
 
 
 def test_an_isolated_proxy_refuses_once_the_permission_expires(checking):
-    checking.tell(core.CutOff(True))
+    checking.tell(core.CutOffChanged(True))
     send_read(checking, 1)
     assert checking.answers[1].outcome is core.Outcome.DONE
     lose_permission(checking, 1.1)
@@ -65,7 +65,7 @@
     checking.tell(core.GiveUp(2))
     attempt = core.Attempt('x', 'p2', 2)
     row = core.GroupRow(1, 'a', frozenset(machines.NAMES), attempt=attempt)
-    checking.tell(core.RowSeen(row))
+    checking.tell(core.RowReceived(row))
     send_read(checking, 1)
     assert checking.answers[1].outcome is core.Outcome.NOT_RUN
     shortly_before_the_end = _recovery.INITIAL_CHANGE_S - PLACE_WITHIN_S / 2
--- a/tests/core/test_silent_connections.py
+++ b/tests/core/test_silent_connections.py
@@ -41,7 +41,7 @@
     down = False
     for _ in range(round(seconds / 0.05)):
         machine.tick(0.05)
-        down = down or machine.core.finds_primary_down(machine.now)
+        down = down or machine.core.considers_primary_down(machine.now)
     return down
 
 
@@ -59,7 +59,7 @@
 
 def test_a_proxy_that_polls_for_itself_only_does_not_find_it_down(shared):
     """Its last answers are from long before its connections go silent."""
-    shared.tell(core.PollsForPeers(False))
+    shared.tell(core.PollingDutyChanged(False))
     advance(shared, 0.5)
     shared.go_silent()
     assert not advance(shared, 3.0)
--- a/tests/core/test_tenant_connections.py
+++ b/tests/core/test_tenant_connections.py
@@ -95,7 +95,9 @@
     A supervisor's order names an endpoint that another proxy has replaced.
     The lookup of the limit on attempts to connect to it raised the error.
     """
-    order = core.ControlAsked(1, 'gone', core.StatusJob(), machine.now + 0.1)
+    order = core.ControlRequested(
+        1, 'gone', core.StatusJob(), machine.now + 0.1
+    )
     machine.tell(order)
     machine.tick(0.2)
     ended = [c for c in machine.ended if c.control == 1]
