--- a/src/tidegrade/peers/__init__.py
+++ b/src/tidegrade/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Links and messages between the proxies of one deployment."""
+"""Connections and messages between the proxies of one deployment."""
--- a/src/tidegrade/peers/_frames.py
+++ b/src/tidegrade/peers/_frames.py
@@ -1,9 +1,10 @@
-"""Authenticated frames between proxies of one deployment.
+"""Encrypted, authenticated frames between proxies of one deployment.
 
-Both sides send a random salt; the keys of the two directions follow from
+Each side sends a random salt; the keys of the two directions follow from
 the shared key and both salts (HKDF, RFC 5869). Each frame is sealed with
-ChaCha20-Poly1305 (RFC 8439) under a counter, so a frame that was changed,
-repeated, left out or made without the shared key ends the connection.
+ChaCha20-Poly1305 (RFC 8439) with a counter as its nonce, so that a frame that
+was altered, replayed, dropped or forged without the shared key ends the
+connection.
 """
 
 import os
@@ -16,67 +17,74 @@
 from cryptography.hazmat.primitives import hashes
 from cryptography.hazmat.primitives.kdf import hkdf
 
+#: Sizes of the salt, key and nonce, in bytes.
 SALT_SIZE = 32
 KEY_SIZE = 32
 NONCE_SIZE = 12
 #: Largest sealed frame, in bytes.
 MAX_FRAME = 4_000_000
-#: Says what the derived keys are for.
+#: HKDF context: binds the derived keys to this protocol and its version.
 KEY_INFO = b'tidegrade peer frames 1'
 
 
-class NotAPeer(Exception):
-    """The other side does not hold the shared key, or frames were lost."""
+class FrameError(Exception):
+    """A frame is too large or fails authentication.
+
+    The peer does not hold the shared key, or frames were altered or lost.
+    """
 
 
 class Direction:
-    """One direction's key and counter."""
+    """The key and the frame counter of one direction of a connection."""
 
     def __init__(self, key: bytes) -> None:
         self._cipher = aead.ChaCha20Poly1305(key)
         self._count = 0
 
     def seal(self, payload: bytes) -> bytes:
-        """Give the sealed payload."""
+        """Return the payload, encrypted and authenticated."""
         return self._cipher.encrypt(self._nonce(), payload, None)
 
     def open(self, sealed: bytes) -> bytes:
-        """Give the payload, or raise if it isn't genuine."""
+        """Return the payload of a sealed frame.
+
+        Raises :class:`FrameError` if authentication fails.
+        """
         try:
             return self._cipher.decrypt(self._nonce(), sealed, None)
         except exceptions.InvalidTag:
-            raise NotAPeer('a frame is not genuine') from None
+            raise FrameError('a frame failed authentication') from None
 
     def _nonce(self) -> bytes:
         self._count += 1
         return self._count.to_bytes(NONCE_SIZE, 'big')
 
 
-class _Timed(anyio.abc.ByteReceiveStream):
-    """Bytes as they come, and when the last of them came."""
+class _TimedReceiveStream(anyio.abc.ByteReceiveStream):
+    """A byte stream that records when it last received bytes."""
 
     def __init__(self, stream: anyio.abc.ByteReceiveStream) -> None:
         self._stream = stream
         self.received_at = anyio.current_time()
 
     async def receive(self, max_bytes: int = 65536) -> bytes:
-        """Give the next bytes."""
+        """Return the next bytes and record the time."""
         chunk = await self._stream.receive(max_bytes)
         self.received_at = anyio.current_time()
         return chunk
 
     async def aclose(self) -> None:
-        """Close the stream below."""
+        """Close the underlying stream."""
         await self._stream.aclose()
 
 
 class FrameStream:
-    """Sends and receives whole payloads over a byte stream."""
+    """Sends and receives sealed payloads over a byte stream."""
 
     def __init__(
         self,
         stream: anyio.abc.ByteStream,
-        received: _Timed,
+        received: _TimedReceiveStream,
         reader: anyio.streams.buffered.BufferedByteReceiveStream,
         outgoing: Direction,
         incoming: Direction,
@@ -90,7 +98,10 @@
 
     @property
     def received_at(self) -> float:
-        """Give when bytes came last, also of a frame that goes on."""
+        """Time at which bytes last arrived, including a partial frame's.
+
+        It is in seconds, on the clock of the event loop.
+        """
         return self._received.received_at
 
     async def send(self, payload: bytes) -> None:
@@ -101,24 +112,33 @@
             await self._stream.send(size + sealed)
 
     async def receive(self) -> bytes:
-        """Receive one payload."""
+        """Receive one payload.
+
+        Raises :class:`FrameError` for a frame that is too large or fails
+        authentication.
+        """
         size = int.from_bytes(await self._reader.receive_exactly(4), 'big')
         if size > MAX_FRAME:
-            raise NotAPeer('a frame is too large')
+            raise FrameError(
+                f'a frame has {size} bytes; the limit is {MAX_FRAME}'
+            )
         return self._incoming.open(await self._reader.receive_exactly(size))
 
     async def aclose(self) -> None:
-        """Close the stream below."""
+        """Close the underlying stream."""
         await self._stream.aclose()
 
 
 async def open_frames(
     stream: anyio.abc.ByteStream, shared_key: bytes, connects: bool
 ) -> FrameStream:
-    """Agree on keys; ``connects`` is true on the side that connected."""
+    """Exchange salts, derive the keys and return the frame stream.
+
+    ``connects`` is true on the side that opened the connection.
+    """
     own_salt = os.urandom(SALT_SIZE)
     await stream.send(own_salt)
-    received = _Timed(stream)
+    received = _TimedReceiveStream(stream)
     reader = anyio.streams.buffered.BufferedByteReceiveStream(received)
     other_salt = await reader.receive_exactly(SALT_SIZE)
     first, second = own_salt, other_salt
--- a/src/tidegrade/peers/_links.py
+++ b/src/tidegrade/peers/_links.py
@@ -1,4 +1,4 @@
-"""Outgoing connections to other proxies: a link to each one in use."""
+"""Outgoing connections to other proxies, one link per address in use."""
 
 import contextlib
 import itertools
@@ -13,32 +13,35 @@
 from tidegrade.peers import _message_codec as codec
 from tidegrade.peers import _messages as messages
 
-#: Pause before a link is tried again, in seconds.
-RECONNECT_PAUSE = 0.2
-#: Time that connecting may take, in seconds.
-CONNECT_TIMEOUT = 1.0
-#: A link on which something was sent and nothing came back for this long
-#: is probed, in seconds; the other side answers questions only.
-PROBE_AFTER = 0.8
-#: Pause between looks whether a link must be probed, in seconds.
-PROBE_LOOK = 0.3
-#: Time that the answer to a probe may take, in seconds.
-PROBE_LIMIT = 0.6
-#: Messages that wait for a link; more are dropped, oldest kept.
-LINK_QUEUE = 256
-#: How long a question waits for a link that is being made, in seconds: two
-#: round trips between failure domains on a loaded VM, many times over.
-UP_LIMIT = 0.25
-#: A link on which nothing was sent for this long is closed, in seconds:
-#: proxies talk to a few others only, and each link takes memory and
-#: probes at both ends.
-IDLE_LIMIT = 15.0
-#: Longest time that the answer to a question may take while bytes of it
-#: keep coming, in seconds: 2.5 MB on a link of 5 Mbit/s.
-FETCH_LIMIT = 4.0
-
-#: What ends a connection between proxies.
-GONE = (
+#: Delay before a link reconnects, in seconds.
+RECONNECT_DELAY_S = 0.2
+#: Limit for the TCP connection, and again for the exchange of keys, in
+#: seconds.
+CONNECT_TIMEOUT_S = 1.0
+#: A link on which a message was sent is probed if nothing has been received
+#: for this long, in seconds. Only requests are answered, so silence after any
+#: other message does not show that the connection is lost.
+PROBE_AFTER_S = 0.8
+#: Interval at which links are checked for idleness and silence, in seconds.
+CHECK_INTERVAL_S = 0.3
+#: Time limit for the answer to a probe, in seconds.
+PROBE_TIMEOUT_S = 0.6
+#: Messages queued for a link; once the queue is full, new ones are dropped.
+MAX_QUEUED_MESSAGES = 256
+#: Time that a request waits for a link that is still connecting, in seconds:
+#: many times the two round trips that this takes between failure domains, even
+#: on a loaded VM.
+CONNECT_WAIT_S = 0.25
+#: A link on which nothing was sent for this long is closed, in seconds. A
+#: proxy exchanges messages with a few others only, and each link costs memory
+#: and probes at both ends.
+IDLE_TIMEOUT_S = 15.0
+#: Time limit for an answer whose bytes keep arriving, in seconds: enough for
+#: 2.5 MB over a network of 5 Mbit/s.
+FETCH_TIMEOUT_S = 4.0
+
+#: Exceptions that mean that the connection to a peer is lost.
+CONNECTION_ERRORS = (
     OSError,
     anyio.EndOfStream,
     anyio.IncompleteRead,
@@ -49,150 +52,152 @@
 
 @attrs.frozen
 class Address:
-    """Where a proxy takes its peers' connections."""
+    """Address at which a proxy accepts connections of its peers."""
 
     host: str
     port: int
 
 
 class Link:
-    """An outgoing connection to one peer, made again when it breaks."""
+    """An outgoing connection to one peer that reconnects after a failure."""
 
     def __init__(self, address: Address, key: bytes) -> None:
         self._address = address
         self._key = key
         self._numbers = itertools.count(1)
-        self._waiting: dict[int, _Question] = {}
+        self._pending: dict[int, _PendingRequest] = {}
         self.connected = False
-        self._used_at = anyio.current_time()
-        self._up = anyio.Event()
+        self._last_used_at = anyio.current_time()
+        self._connected_event = anyio.Event()
         self._connecting = True
-        self._unheard_since: float | None = None
-        self._conversation: anyio.CancelScope | None = None
+        self._unanswered_since: float | None = None
+        self._connection_scope: anyio.CancelScope | None = None
         self._frames: _frames.FrameStream | None = None
         self._probing = False
         self._send, self._receive = anyio.create_memory_object_stream[
             messages.PeerMessage
-        ](LINK_QUEUE)
+        ](MAX_QUEUED_MESSAGES)
         self._scope = anyio.CancelScope()
 
     async def run(self) -> None:
-        """Keep the link up until it is closed."""
+        """Connect, and reconnect after each failure, until the link closes."""
         with self._scope:
             while True:
                 self._connecting = True
-                with contextlib.suppress(*GONE, TimeoutError):
-                    await self._connected()
-                self._lost()
-                await anyio.sleep(RECONNECT_PAUSE)
+                with contextlib.suppress(*CONNECTION_ERRORS, TimeoutError):
+                    await self._run_connection()
+                self._reset()
+                await anyio.sleep(RECONNECT_DELAY_S)
 
     def close(self) -> None:
-        """End the link; questions on it end without an answer."""
-        self._lost()
+        """Close the link; pending requests end without an answer."""
+        self._reset()
         self._scope.cancel()
 
     def post(self, body: messages.PeerBody) -> bool:
-        """Send a message that wants no answer; tell if it was queued."""
+        """Queue a message that needs no answer; return whether it was."""
         return self._queue(messages.PeerMessage(body))
 
     async def ask(self, body: messages.PeerBody, time_limit: float) -> 'Asked':
-        """Send a question and wait for its answer.
+        """Send a request and wait for its answer for ``time_limit`` seconds.
 
-        An answer that comes later is dropped, never given to another.
+        An answer that arrives later is dropped and never matched to another
+        request.
         """
         return await self._ask(body, time_limit, time_limit)
 
     async def fetch(self, body: messages.PeerBody, silence: float) -> 'Asked':
-        """Ask for something large: wait while bytes keep coming.
+        """Send a request and wait while bytes of its answer keep arriving.
 
-        The question ends once nothing has come for ``silence`` seconds. With
-        a bound on the whole, 0.3 s, no proxy behind a link of 5 Mbit/s ever
-        got a configuration of 330 KB.
+        The request ends once nothing has arrived for ``silence`` seconds, or
+        after :data:`FETCH_TIMEOUT_S`. With a limit of 0.3 s on the whole
+        answer, no proxy behind a network of 5 Mbit/s received a configuration
+        of 330 KB.
         """
-        return await self._ask(body, silence, FETCH_LIMIT)
+        return await self._ask(body, silence, FETCH_TIMEOUT_S)
 
     async def _ask(
         self, body: messages.PeerBody, silence: float, longest: float
     ) -> 'Asked':
         asked_at = anyio.current_time()
         if not self.connected:
-            with anyio.move_on_after(min(silence, UP_LIMIT)):
-                await self._up.wait()
-        question = _Question()
+            with anyio.move_on_after(min(silence, CONNECT_WAIT_S)):
+                await self._connected_event.wait()
+        pending = _PendingRequest()
         number = next(self._numbers)
-        self._waiting[number] = question
+        self._pending[number] = pending
         try:
             if not self.connected:
                 return Asked(sent=False)
             if not self._queue(messages.PeerMessage(body, number)):
                 return Asked(sent=False)
-            await self._wait(question, silence, asked_at, longest)
-            return Asked(sent=True, answer=question.answer)
+            await self._wait(pending, silence, asked_at, longest)
+            return Asked(sent=True, answer=pending.answer)
         finally:
-            self._waiting.pop(number, None)
+            self._pending.pop(number, None)
 
     async def _wait(
         self,
-        question: '_Question',
+        pending: '_PendingRequest',
         silence: float,
         asked_at: float,
         longest: float,
     ) -> None:
-        """Wait for an answer, until silence or the longest time is over."""
-        while not question.done.is_set():
+        """Wait for an answer until either time limit, in seconds, expires."""
+        while not pending.done.is_set():
             until = max(asked_at, self._received_at()) + silence
             left = min(until, asked_at + longest) - anyio.current_time()
             if left <= 0:
                 return
             with anyio.move_on_after(left):
-                await question.done.wait()
+                await pending.done.wait()
 
     def _received_at(self) -> float:
-        """Give when bytes came last on this connection."""
+        """Return when bytes last arrived on the latest connection."""
         if self._frames is None:
             return float('-inf')
         return self._frames.received_at
 
     def _queue(self, message: messages.PeerMessage) -> bool:
-        self._used_at = anyio.current_time()
+        self._last_used_at = anyio.current_time()
         if not (self.connected or self._connecting):
             return False
         try:
             self._send.send_nowait(message)
         except anyio.WouldBlock:
             return False
-        if self._unheard_since is None:
-            self._unheard_since = anyio.current_time()
+        if self._unanswered_since is None:
+            self._unanswered_since = anyio.current_time()
         return True
 
-    def _lost(self) -> None:
+    def _reset(self) -> None:
         self.connected = self._connecting = False
-        self._up = anyio.Event()
-        self._conversation = None
-        self._unheard_since = None
-        for question in self._waiting.values():
-            question.done.set()
+        self._connected_event = anyio.Event()
+        self._connection_scope = None
+        self._unanswered_since = None
+        for pending in self._pending.values():
+            pending.done.set()
         with contextlib.suppress(anyio.WouldBlock):
             while True:
                 self._receive.receive_nowait()
 
-    async def _connected(self) -> None:
-        with anyio.fail_after(CONNECT_TIMEOUT):
+    async def _run_connection(self) -> None:
+        with anyio.fail_after(CONNECT_TIMEOUT_S):
             stream = await anyio.connect_tcp(
                 self._address.host, self._address.port
             )
         async with stream:
             net.watch(stream)
-            with anyio.fail_after(CONNECT_TIMEOUT):
+            with anyio.fail_after(CONNECT_TIMEOUT_S):
                 frames = await _frames.open_frames(
                     stream, self._key, connects=True
                 )
             self._frames = frames
             self.connected = True
-            self._unheard_since = None
-            self._up.set()
+            self._unanswered_since = None
+            self._connected_event.set()
             async with anyio.create_task_group() as tasks:
-                self._conversation = tasks.cancel_scope
+                self._connection_scope = tasks.cancel_scope
                 tasks.start_soon(self._write, frames, tasks.cancel_scope)
                 await self._read(frames)
                 tasks.cancel_scope.cancel()
@@ -200,63 +205,66 @@
     async def _write(
         self, frames: _frames.FrameStream, scope: anyio.CancelScope
     ) -> None:
-        with contextlib.suppress(*GONE):
+        with contextlib.suppress(*CONNECTION_ERRORS):
             while True:
                 message = await self._receive.receive()
                 await frames.send(codec.encode(message))
         scope.cancel()
 
     def is_idle(self, now: float) -> bool:
-        """Tell whether nobody has used this link for long."""
-        return not self._waiting and now - self._used_at >= IDLE_LIMIT
+        """Return whether the link has been unused for ``IDLE_TIMEOUT_S``."""
+        return not self._pending and now - self._last_used_at >= IDLE_TIMEOUT_S
 
     def needs_probe(self, now: float) -> bool:
-        """Tell whether something that was sent got no sign of life."""
-        since = self._unheard_since
-        return since is not None and now - since >= PROBE_AFTER
+        """Return whether nothing was received after a message was sent.
+
+        The peer has :data:`PROBE_AFTER_S` for it.
+        """
+        since = self._unanswered_since
+        return since is not None and now - since >= PROBE_AFTER_S
 
     async def probe(self) -> None:
-        """Give the connection up if it has gone silent.
+        """Close the connection if the peer does not answer a probe.
 
-        The answer to a probe may wait behind one that takes long: bytes of
-        that are a sign of life as well.
+        The answer to the probe may be queued behind a large one, so any bytes
+        received since the probe was sent also show that the connection works.
         """
-        if self._probing or self._conversation is None:
+        if self._probing or self._connection_scope is None:
             return
-        conversation, self._probing = self._conversation, True
+        connection, self._probing = self._connection_scope, True
         asked_at = anyio.current_time()
         try:
-            asked = await self.ask(messages.Probe(), PROBE_LIMIT)
+            asked = await self.ask(messages.Probe(), PROBE_TIMEOUT_S)
         finally:
             self._probing = False
         if self._received_at() > asked_at:
             return
-        if asked.answer is None and conversation is self._conversation:
+        if asked.answer is None and connection is self._connection_scope:
             logs.write(logs.LogEvent.PEER_SILENT, address=str(self._address))
-            conversation.cancel()
+            connection.cancel()
 
     async def _read(self, frames: _frames.FrameStream) -> None:
         try:
             while True:
                 message = codec.decode(await frames.receive())
-                self._unheard_since = None
-                question = self._waiting.get(message.number)
-                if question is not None:
-                    question.answer = message.body
-                    question.done.set()
-        except (_frames.NotAPeer, codec.Malformed) as exc:
+                self._unanswered_since = None
+                pending = self._pending.get(message.number)
+                if pending is not None:
+                    pending.answer = message.body
+                    pending.done.set()
+        except (_frames.FrameError, codec.Malformed) as exc:
             logs.write(
                 logs.LogEvent.PEER_REFUSED,
                 address=str(self._address),
                 reason=str(exc),
             )
-        except GONE:
+        except CONNECTION_ERRORS:
             pass
 
 
 @attrs.define
-class _Question:
-    """A question on a link and its answer once it has come."""
+class _PendingRequest:
+    """A pending request on a link, and its answer once received."""
 
     done: anyio.Event = attrs.field(factory=anyio.Event)
     answer: messages.PeerBody | None = None
@@ -264,17 +272,22 @@
 
 @attrs.frozen
 class Asked:
-    """What became of a question; ``sent`` says it may have arrived."""
+    """The result of a request.
+
+    ``sent`` is true if the request may have reached the peer; ``answer`` is
+    None if no answer arrived in time.
+    """
 
     sent: bool
     answer: messages.PeerBody | None = None
 
 
 class Links:
-    """The links of this proxy, by address; made as they are needed.
+    """The links of this proxy by address, each opened on first use.
 
-    With 195 proxies that each linked to all others, 37,830 links were made
-    at each start of all; a proxy talks to its relays and to a few homes.
+    A proxy exchanges messages only with its relays and with a few homes.
+    Linking each of 195 proxies to all others would open 37,830 links whenever
+    all of them start.
     """
 
     def __init__(self, key: bytes, own: Address) -> None:
@@ -284,12 +297,15 @@
         self._tasks: anyio.abc.TaskGroup | None = None
 
     async def run(self, *, task_status: anyio.abc.TaskStatus[None]) -> None:
-        """Run every link until cancelled."""
+        """Run all links until cancelled.
+
+        Idle links are closed and silent ones probed.
+        """
         async with anyio.create_task_group() as tasks:
             self._tasks = tasks
             task_status.started()
             while True:
-                await anyio.sleep(PROBE_LOOK)
+                await anyio.sleep(CHECK_INTERVAL_S)
                 now = anyio.current_time()
                 for address, link in list(self._links.items()):
                     if link.is_idle(now):
@@ -298,14 +314,14 @@
                         tasks.start_soon(link.probe)
 
     def post(self, address: Address, body: messages.PeerBody) -> bool:
-        """Send a message that wants no answer; tell if it was queued."""
+        """Queue a message that needs no answer; return whether it was."""
         link = self._link(address)
         return link is not None and link.post(body)
 
     async def ask(
         self, address: Address, body: messages.PeerBody, time_limit: float
     ) -> 'Asked':
-        """Ask the proxy at an address, as :meth:`Link.ask` does."""
+        """Send a request to an address, as :meth:`Link.ask` does."""
         link = self._link(address)
         if link is None:
             return Asked(sent=False)
@@ -314,14 +330,14 @@
     async def fetch(
         self, address: Address, body: messages.PeerBody, silence: float
     ) -> 'Asked':
-        """Ask the proxy at an address, as :meth:`Link.fetch` does."""
+        """Send a request to an address, as :meth:`Link.fetch` does."""
         link = self._link(address)
         if link is None:
             return Asked(sent=False)
         return await link.fetch(body, silence)
 
     def drop(self, address: Address) -> None:
-        """Close the link to an address that nobody uses any more."""
+        """Close the link to an address, if there is one."""
         link = self._links.pop(address, None)
         if link is not None:
             link.close()
@@ -330,7 +346,10 @@
         return len(self._links)
 
     def _link(self, address: Address) -> Link | None:
-        """Give the link to an address, made if need be; none to our own."""
+        """Return the link to an address, opening it if necessary.
+
+        None for the proxy's own address.
+        """
         if address == self._own:
             return None
         link = self._links.get(address)
--- a/src/tidegrade/peers/_message_codec.py
+++ b/src/tidegrade/peers/_message_codec.py
@@ -1,4 +1,4 @@
-"""Peer messages to and from Cap'n Proto."""
+"""Conversion of peer messages to and from Cap'n Proto."""
 
 import json
 import math
@@ -13,23 +13,23 @@
 from tidegrade.peers import _packing
 from tidegrade.peers import _wire
 
-#: Largest age that is sent as such, in milliseconds; it fits 32 bits.
+#: Cap on an age that is sent, in milliseconds; it fits into 32 bits.
 MAX_AGE_MS = 1_000_000_000
 
 
 class Malformed(Exception):
-    """A peer's message can't be read."""
+    """The message of a peer can't be decoded."""
 
 
 def encode(message: messages.PeerMessage) -> bytes:
-    """Give a message's bytes."""
+    """Return a message as bytes."""
     wire = _wire.PeerMessage.new_message(number=message.number)
     _ENCODERS[type(message.body)](wire, message.body)
     return wire.to_bytes_packed()
 
 
 def decode(raw: bytes) -> messages.PeerMessage:
-    """Read a message or raise :class:`Malformed`."""
+    """Return the message that bytes hold; raises :class:`Malformed`."""
     try:
         wire = _wire.read_peer_message(raw)
         body = _DECODERS[str(wire.which())](wire)
@@ -112,10 +112,10 @@
 
 
 def _json(value: core.Request | core.Answer) -> bytes:
-    """Give a value as JSON; a time without bound is left out.
+    """Return a value as JSON without its infinite times.
 
-    Callers' text may hold bytes that are not UTF-8, as surrogates, which
-    only the standard library's JSON passes on.
+    Text of callers may hold bytes that are not UTF-8 as surrogates, and only
+    the JSON module of the standard library can encode those.
     """
     plain = _structure.unstructure(value)
     bounded = {name: part for name, part in plain.items() if part != math.inf}
@@ -220,7 +220,10 @@
 
 
 def _age_us(at: float) -> int:
-    """Give a negative age in seconds as microseconds, rounded up."""
+    """Convert a negative age in seconds to microseconds, rounded up.
+
+    Rounding up never makes evidence look newer than it is.
+    """
     return max(0, math.ceil(-at * 1e6))
 
 
--- a/src/tidegrade/peers/_messages.py
+++ b/src/tidegrade/peers/_messages.py
@@ -1,4 +1,4 @@
-"""What proxies say to each other, as attrs classes."""
+"""The messages that proxies exchange, as attrs classes."""
 
 import zlib
 
@@ -9,7 +9,7 @@
 
 @attrs.frozen
 class GroupKey:
-    """Names a group across sites."""
+    """Identifies a group across sites."""
 
     site: str
     group: str
@@ -20,7 +20,7 @@
 
 @attrs.frozen
 class GroupOpinion:
-    """What a proxy thinks of the primary of a group in a term."""
+    """Whether a proxy believes that a group's primary of a term is down."""
 
     key: GroupKey
     term: int
@@ -29,14 +29,15 @@
 
 @attrs.frozen
 class Heartbeat:
-    """A proxy is alive, and what it knows in short.
-
-    ``host`` and ``port`` are where it takes peers' connections. With
-    ``pass_on`` it asks the receiver to tell others; ``blind`` says that
-    the platform does not answer it. ``config_age`` is how long ago its
-    configuration was known to be the newest, in seconds; None if that isn't
-    known. It changes all the time, and is no part of what is compared.
-    ``store_generation`` is the latest of the platform's table that it knows.
+    """Shows that a proxy is alive, and summarizes its state.
+
+    The proxy accepts connections of peers at ``host`` and ``port``. With
+    ``pass_on`` the receiver forwards the heartbeat to other proxies.
+    ``blind`` is true if the platform does not answer the proxy.
+    ``config_age`` is the time since the proxy's configuration was known to be
+    the newest one, in seconds; None if that isn't known. It changes all the
+    time, so heartbeats are compared without it. ``store_generation`` is the
+    latest generation of the platform's table that the proxy knows.
     """
 
     proxy: str
@@ -52,12 +53,12 @@
     store_generation: int = 0
 
     def revision(self) -> int:
-        """Give a number of 32 bits that changes with the content.
+        """Return a checksum of 32 bits over the heartbeat's content.
 
-        The version of the configuration is left out: all proxies change
-        it at the same time, and whoever has a newer one says so itself.
+        The configuration version is left out: all proxies change it at the
+        same time, and a proxy with a newer one announces that itself.
         """
-        said = (
+        content = (
             self.proxy,
             self.host,
             self.port,
@@ -66,17 +67,17 @@
             self.store_generation,
             *((str(o.key), o.term, o.primary_down) for o in self.opinions),
         )
-        return zlib.crc32(repr(said).encode())
+        return zlib.crc32(repr(content).encode())
 
     def urgent(self) -> tuple[object, ...]:
-        """Give the part whose changes others must hear at once."""
+        """Return the fields whose changes are sent to peers without delay."""
         down = (o for o in self.opinions if o.primary_down)
         return (self.draining, *down)
 
 
 @attrs.frozen
 class GiveUp:
-    """Asks to give up permissions for terms below ``below``."""
+    """Asks a proxy to give up write permissions of terms below ``below``."""
 
     key: GroupKey
     below: int
@@ -84,7 +85,7 @@
 
 @attrs.frozen
 class GaveUp:
-    """Answers that ``proxy`` has given up permissions below ``below``."""
+    """Confirms that ``proxy`` gave up permissions of terms below ``below``."""
 
     key: GroupKey
     below: int
@@ -93,9 +94,9 @@
 
 @attrs.frozen
 class RowNews:
-    """A group's row, as JSON, that may be new to the other side.
+    """A group's row, as JSON, that may be newer than the receiver's.
 
-    With ``pass_on`` it asks the receiver to tell its failure domain.
+    With ``pass_on`` the receiver forwards it within its failure domain.
     """
 
     key: GroupKey
@@ -105,14 +106,14 @@
 
 @attrs.frozen
 class AskConfig:
-    """Asks for the configuration of this version."""
+    """Requests the configuration that ``ref`` identifies."""
 
     ref: core.ConfigRef
 
 
 @attrs.frozen
 class ConfigContent:
-    """A configuration's content; empty if the peer doesn't have it."""
+    """A configuration's content; empty if the sender doesn't have it."""
 
     ref: core.ConfigRef
     document: bytes
@@ -120,10 +121,10 @@
 
 @attrs.frozen
 class Forward:
-    """A caller's request that another proxy serves.
+    """A caller's request that is forwarded to another proxy.
 
-    ``request.id`` means nothing to the other side. Its ``deadline`` and
-    ``place_by`` count from the moment it is sent, in seconds.
+    The receiver ignores ``request.id``. The request's ``deadline`` and
+    ``place_by`` are in seconds from the moment at which it is sent.
     """
 
     key: GroupKey
@@ -134,7 +135,8 @@
 class Forwarded:
     """The answer to a forwarded request.
 
-    Its ``acknowledge_until`` counts from the moment it is sent.
+    Its ``acknowledge_until`` is in seconds from the moment at which it is
+    sent.
     """
 
     answer: core.Answer
@@ -142,14 +144,14 @@
 
 @attrs.frozen
 class AskEvidence:
-    """Asks what was seen of the endpoints of these groups."""
+    """Requests what was observed of the endpoints of these groups."""
 
     keys: tuple[GroupKey, ...]
 
 
 @attrs.frozen
 class GroupEvidence:
-    """What was seen of one group; times are negative ages in seconds."""
+    """What was observed of a group; times are negative ages in seconds."""
 
     key: GroupKey
     evidence: core.Evidence
@@ -164,7 +166,7 @@
 
 @attrs.frozen
 class AgedHeartbeat:
-    """Another proxy's heartbeat; ``age`` is in seconds since it came."""
+    """Another proxy's heartbeat, received ``age`` seconds ago."""
 
     beat: Heartbeat
     age: float
@@ -172,7 +174,10 @@
 
 @attrs.frozen
 class AliveProxy:
-    """A proxy whose heartbeat of this revision came ``age`` ago."""
+    """A proxy whose heartbeat was received ``age`` seconds ago.
+
+    ``revision`` is that of the heartbeat, see :meth:`Heartbeat.revision`.
+    """
 
     proxy: str
     age: float
@@ -181,11 +186,12 @@
 
 @attrs.frozen
 class Roll:
-    """The proxies of a failure domain that were heard within ``age``.
+    """Summarizes the live proxies of a domain that a digest does not name.
 
-    They are those that the digest does not name, and the other side should
-    know them: ``revisions`` joins those of their heartbeats by exclusive
-    or, so that it is the same in any order. ``age`` is in seconds.
+    It stands for proxies of a failure domain that the receiver should know
+    already. Their heartbeats were all received within the last ``age``
+    seconds. ``revisions`` combines the revisions of the heartbeats by
+    exclusive or, which does not depend on their order.
     """
 
     domain: str
@@ -196,12 +202,13 @@
 
 @attrs.frozen
 class Digest:
-    """What the proxy ``sender`` has heard, where not all hear all.
+    """The heartbeats that ``sender`` knows, as gossip between proxies.
 
-    ``news`` are heartbeats in full, ``alive`` those that were heard a
-    while ago, one by one, and ``rolls`` all others, a domain each; the
-    sender itself is among them. ``config_version`` and ``config_age`` are
-    the sender's, as in its heartbeat.
+    It is used where not every proxy receives every heartbeat. ``news`` holds
+    heartbeats in full, ``alive`` names proxies whose heartbeats are older,
+    and ``rolls`` summarizes all others, one entry per failure domain. The
+    sender itself is included. ``config_version`` and ``config_age`` are the
+    sender's, as in its heartbeat.
     """
 
     news: tuple[AgedHeartbeat, ...] = ()
@@ -212,7 +219,7 @@
     config_age: float | None = None
 
     def named(self) -> frozenset[str]:
-        """Give the proxies that no roll stands for."""
+        """Return the proxies that the digest names one by one."""
         news = (aged.beat.proxy for aged in self.news)
         alive = (entry.proxy for entry in self.alive)
         return frozenset((*news, *alive))
@@ -220,10 +227,10 @@
 
 @attrs.frozen
 class AskDomain:
-    """Asks for the heartbeats of all proxies of a failure domain.
+    """Requests the heartbeats of all proxies of a failure domain.
 
-    Those whose revisions are ``known`` need not be told again; only that
-    they live.
+    For a heartbeat whose revision is in ``known``, the answer need only say
+    that the proxy is alive.
     """
 
     domain: str
@@ -232,18 +239,18 @@
 
 @attrs.frozen
 class AskEndpoints:
-    """Asks for the list of endpoints, if it is newer than ``version``."""
+    """Requests the list of endpoints if it is newer than ``version``."""
 
     version: int
 
 
 @attrs.frozen
 class EndpointNews:
-    """The list of endpoints, as JSON, as the platform gave it.
+    """The platform's list of endpoints, as JSON.
 
-    ``version`` rises from reading to reading. ``entries`` is empty if the
-    other side's list is not newer. With ``pass_on`` it asks the receiver
-    to tell its failure domain.
+    ``version`` rises from one reading of the list to the next. ``entries`` is
+    empty if the sender's list is not newer than the one asked about. With
+    ``pass_on`` the receiver forwards it within its failure domain.
     """
 
     version: int
@@ -253,11 +260,12 @@
 
 @attrs.frozen
 class AskQuota:
-    """Asks a tenant's keeper to grant an operation.
+    """Asks the keeper of a tenant's quota to admit an operation.
 
-    ``rate`` and ``burst`` are the tenant's by the configuration of this
-    version. The operation can wait for ``patience`` seconds. The usual
-    keeper in the domain ``instead_of`` did not answer, if that is named.
+    ``rate``, in operations a second, and ``burst`` are those of the tenant in
+    configuration ``config_version``. The operation can wait for ``patience``
+    seconds. If ``instead_of`` is set, the usual keeper, in that failure
+    domain, did not answer.
     """
 
     tenant: str
@@ -270,16 +278,16 @@
 
 @attrs.frozen
 class QuotaGrant:
-    """Answers :class:`AskQuota`; ``grant`` says when it may start."""
+    """Answers :class:`AskQuota`; ``grant`` tells when it may start."""
 
     grant: core.Grant
 
 
 @attrs.frozen
 class QuotaBack:
-    """Gives a grant of a tenant back: its operation reached no endpoint.
+    """Returns an unused grant, whose operation reached no endpoint.
 
-    It counted at ``at``, by the keeper's clock.
+    ``at`` is when the grant counted, in seconds on the keeper's clock.
     """
 
     tenant: str
@@ -288,7 +296,7 @@
 
 @attrs.frozen
 class Probe:
-    """Asks whether the connection still works."""
+    """Checks whether the connection still works."""
 
 
 @attrs.frozen
@@ -318,13 +326,16 @@
     | QuotaBack
 )
 
-#: What a proxy may have relays pass on to all others.
+#: Messages that relays forward to all other proxies on request.
 Announcement = RowNews | EndpointNews
 
 
 @attrs.frozen
 class PeerMessage:
-    """A message; an answer bears the number of its question."""
+    """A message and its number.
+
+    An answer has the number of its request; 0 means that no answer is wanted.
+    """
 
     body: PeerBody
     number: int = 0
--- a/src/tidegrade/peers/_server.py
+++ b/src/tidegrade/peers/_server.py
@@ -1,4 +1,4 @@
-"""Incoming connections from other proxies, and the answers on them."""
+"""Incoming connections from other proxies, and the answers sent on them."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -14,17 +14,21 @@
 from tidegrade.peers import _message_codec as codec
 from tidegrade.peers import _messages as messages
 
-#: Time that another proxy may take to agree on keys, in seconds.
-OPEN_TIMEOUT = 1.0
-#: Connections that other proxies may hold to this one.
+#: Time limit for the exchange of keys on a new connection, in seconds.
+HANDSHAKE_TIMEOUT_S = 1.0
+#: Incoming connections served at once; more wait to be served.
 MAX_INCOMING = 10_000
 
-#: Takes a peer's message and gives the answer, if it wants one.
+#: Handles a message of a peer and returns the answer, or None without one.
 Handler = Callable[[messages.PeerBody], Awaitable[messages.PeerBody | None]]
 
 
 class PeerServer:
-    """Takes the connections of other proxies."""
+    """Accepts connections of other proxies and passes on their messages.
+
+    A message with a number is a request: each is handled in a task of its
+    own, so that a slow answer does not delay others.
+    """
 
     def __init__(
         self, address: _links.Address, key: bytes, handler: Handler
@@ -40,21 +44,21 @@
             local_host=self._address.host, local_port=self._address.port
         )
         task_status.started()
-        await listener.serve(self._peer)
+        await listener.serve(self._accept)
 
-    async def _peer(self, stream: anyio.abc.SocketStream) -> None:
+    async def _accept(self, stream: anyio.abc.SocketStream) -> None:
         async with stream, self._limit:
             try:
                 net.watch(stream)
-                with anyio.fail_after(OPEN_TIMEOUT):
+                with anyio.fail_after(HANDSHAKE_TIMEOUT_S):
                     frames = await _frames.open_frames(
                         stream, self._key, connects=False
                     )
-            except (*_links.GONE, TimeoutError):
+            except (*_links.CONNECTION_ERRORS, TimeoutError):
                 return
-            await self._converse(frames)
+            await self._serve_connection(frames)
 
-    async def _converse(self, frames: _frames.FrameStream) -> None:
+    async def _serve_connection(self, frames: _frames.FrameStream) -> None:
         async with anyio.create_task_group() as tasks:
             try:
                 while True:
@@ -66,10 +70,10 @@
                         tasks.start_soon(self._answer, frames, message)
                     else:
                         await self._handler(message.body)
-            except _links.GONE:
+            except _links.CONNECTION_ERRORS:
                 pass
-            except (_frames.NotAPeer, codec.Malformed) as exc:
-                # Caught inside the task group, which would wrap it.
+            except (_frames.FrameError, codec.Malformed) as exc:
+                # Caught inside the task group, which would wrap the exception.
                 logs.write(logs.LogEvent.PEER_REFUSED, reason=str(exc))
             tasks.cancel_scope.cancel()
 
@@ -86,5 +90,5 @@
         body: messages.PeerBody,
         number: int,
     ) -> None:
-        with contextlib.suppress(*_links.GONE):
+        with contextlib.suppress(*_links.CONNECTION_ERRORS):
             await frames.send(codec.encode(messages.PeerMessage(body, number)))
--- a/src/tidegrade/peers/_wire.py
+++ b/src/tidegrade/peers/_wire.py
@@ -10,9 +10,10 @@
 
 from tidegrade import core
 
-#: Longest session token taken from a caller, in characters.
+#: Longest session token accepted from a caller, in characters.
 MAX_TOKEN = 4096
-#: Words that reading one message may traverse, against hostile input.
+#: Words that reading one message may traverse, which bounds the work that
+#: malicious input can cause.
 TRAVERSAL_LIMIT = 4_000_000
 
 _SCHEMA = capnp.load(
@@ -23,7 +24,7 @@
 
 
 def encode_token(token: core.SessionToken) -> str:
-    """Give the token as text for a header."""
+    """Return the token as URL-safe base64 text for a header."""
     message = _SCHEMA.SessionToken.new_message(
         site=token.site, configVersion=token.config_version
     )
@@ -38,7 +39,7 @@
 
 
 def decode_token(text: str) -> result.Result[core.SessionToken, str]:
-    """Read a token; anything malformed is an error, never a guess."""
+    """Return the token that a text holds, or an error if it is malformed."""
     if len(text) > MAX_TOKEN:
         return result.Err(f'a session token has up to {MAX_TOKEN} characters')
     try:
@@ -63,7 +64,7 @@
 
 
 def read_peer_message(raw: bytes) -> typing.Any:
-    """Give a message; raises ``capnp.KjException`` if it is malformed."""
+    """Return a message; raises ``capnp.KjException`` if it is malformed."""
     return PeerMessage.from_bytes_packed(
         raw, traversal_limit_in_words=TRAVERSAL_LIMIT
     )
--- a/src/tidegrade/peers/wire.capnp
+++ b/src/tidegrade/peers/wire.capnp
@@ -26,18 +26,18 @@
   configVersion @2 :UInt64;
   draining @3 :Bool;
   opinions @4 :List(GroupOpinion);
-  host @5 :Text;         # where this proxy takes peers' connections
+  host @5 :Text;         # where this proxy accepts connections of peers
   port @6 :UInt16;
-  passOn @7 :Bool;       # asks the receiver to tell others
+  passOn @7 :Bool;       # asks the receiver to forward it
   blind @8 :Bool;        # the platform does not answer this proxy
-  configAge @9 :UInt32;  # ms since its configuration was the newest, plus
-                         # one; 0: not known
-  storeGeneration @10 :UInt32;  # of the platform's table, the latest known
+  configAge @9 :UInt32;  # ms since its configuration was known to be the
+                         # newest, plus one; 0: not known
+  storeGeneration @10 :UInt32;  # latest known one of the platform's table
 }
 
 struct AgedHeartbeat {
   beat @0 :Heartbeat;
-  ageMs @1 :UInt32;      # since it was heard, at least
+  ageMs @1 :UInt32;      # since it was received, at least
 }
 
 struct AliveProxy {
@@ -47,10 +47,10 @@
 }
 
 struct Roll {
-  # Proxies of a failure domain that were all heard within an age.
+  # Summarizes proxies of a failure domain, all heard within ageMs.
   domain @0 :Text;
   count @1 :UInt16;
-  revisions @2 :UInt32;  # of their heartbeats, joined by exclusive or
+  revisions @2 :UInt32;  # of their heartbeats, combined by exclusive or
   ageMs @3 :UInt32;
 }
 
@@ -59,40 +59,41 @@
   alive @1 :List(AliveProxy);
   rolls @2 :List(Roll);
   sender @3 :Text;
-  configVersion @4 :UInt64;  # that the sender has in force
+  configVersion @4 :UInt64;  # of the configuration in force at the sender
   configAge @5 :UInt32;      # as in its heartbeat
 }
 
 struct EndpointList {
   version @0 :UInt64;    # of the platform's store, when it was read
-  entries @1 :Data;      # JSON; empty in a question
-  passOn @2 :Bool;       # asks the receiver to tell its failure domain
+  entries @1 :Data;      # JSON; empty in a request
+  passOn @2 :Bool;       # asks the receiver to forward it in its domain
 }
 
 struct TermBound {
-  # Asks to give up, or says to have given up, permissions below a term.
+  # Asks a proxy to give up permissions of terms below a bound, or confirms
+  # that it did.
   site @0 :Text;
   group @1 :Text;
   below @2 :UInt64;
-  proxy @3 :Text;        # who answers; empty in a question
+  proxy @3 :Text;        # the one that answers; empty in a request
 }
 
 struct RowNews {
   site @0 :Text;
   group @1 :Text;
   row @2 :Data;          # JSON, as in the platform's table
-  passOn @3 :Bool;       # asks the receiver to tell its failure domain
+  passOn @3 :Bool;       # asks the receiver to forward it in its domain
 }
 
 struct ConfigContent {
   version @0 :UInt64;
   sha256 @1 :Text;
-  document @2 :Data;     # of older proxies, not compressed
-  packed @3 :Data;       # compressed; empty in a question
+  document @2 :Data;     # not compressed; sent by older proxies
+  packed @3 :Data;       # compressed; empty in a request
 }
 
 struct Forward {
-  # A caller's request that another proxy serves.
+  # A caller's request that is forwarded to another proxy.
   site @0 :Text;
   group @1 :Text;
   request @2 :Data;      # JSON; times count from its arrival
@@ -123,30 +124,31 @@
 }
 
 struct QuotaAsk {
-  # Asks a tenant's keeper to grant an operation.
+  # Asks the keeper of a tenant's quota to admit an operation.
   tenant @0 :Text;
-  rate @1 :Float64;       # operations a second, as the asker knows it
+  rate @1 :Float64;       # operations a second, as the sender knows it
   burst @2 :Float64;
   configVersion @3 :UInt64;
   patience @4 :Float64;   # seconds that the operation can wait
-  insteadOf @5 :Text;     # domain of a keeper that did not answer
+  insteadOf @5 :Text;     # domain of the usual keeper, which did not answer
 }
 
 struct QuotaGrant {
   granted @0 :Bool;
   wait @1 :Float64;       # seconds
-  part @2 :Float32;       # of all proxies that the keeper sees
-  at @3 :Float64;         # when it counts, by the keeper's clock
+  part @2 :Float32;       # share of all proxies that the keeper sees,
+                          # and of the limit that it grants
+  at @3 :Float64;         # when it counts, in seconds of the keeper's clock
 }
 
 struct QuotaBack {
-  # Gives a grant back that was not used.
+  # Returns a grant that was not used.
   tenant @0 :Text;
-  at @1 :Float64;         # when it counted, as the grant says
+  at @1 :Float64;         # when it counted, as in the grant
 }
 
 struct PeerMessage {
-  number @0 :UInt64;     # an answer bears the number of its question
+  number @0 :UInt64;     # an answer has the number of its request
   union {
     heartbeat @1 :Heartbeat;
     giveUp @2 :TermBound;
@@ -163,10 +165,10 @@
     digest @13 :Digest;
     askEndpoints @14 :EndpointList;
     endpoints @15 :EndpointList;
-    askDomain @16 :Text;   # asks for the heartbeats of a failure domain
+    askDomain @16 :Text;   # requests the heartbeats of a failure domain
     askQuota @18 :QuotaAsk;
     quota @19 :QuotaGrant;
     quotaBack @20 :QuotaBack;
   }
-  known @17 :List(UInt32);  # revisions of those that are known already
+  known @17 :List(UInt32);  # askDomain: revisions that the sender knows already
 }
--- a/tests/adapters/test_peer_messages.py
+++ b/tests/adapters/test_peer_messages.py
@@ -1,4 +1,4 @@
-"""Messages between proxies come back as they went."""
+"""Round trips of messages between proxies through their encoding."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -38,14 +38,14 @@
 
 
 @given(st.binary(max_size=200))
-def test_any_bytes_are_a_message_or_malformed(raw):
+def test_arbitrary_bytes_decode_or_raise_malformed(raw):
     try:
         codec.decode(raw)
     except codec.Malformed:
         return
 
 
-def test_evidence_without_a_position_stays_without():
+def test_evidence_without_a_position_round_trips():
     seen = messages.GroupEvidence(KEY, core.Evidence(3))
     message = messages.PeerMessage(messages.EvidenceAnswer((seen,)))
     (group,) = codec.decode(codec.encode(message)).body.seen
@@ -86,13 +86,13 @@
 
 
 @given(requests)
-def test_a_forwarded_request_comes_back_as_it_went(req):
+def test_a_forwarded_request_round_trips(req):
     forward = messages.Forward(KEY, req)
     raw = codec.encode(messages.PeerMessage(forward, 3))
     assert codec.decode(raw).body == forward
 
 
-def test_a_forwarded_answer_comes_back_as_it_went():
+def test_a_forwarded_answer_round_trips():
     found = core.ResultSet(('a',), (('x\udcff',), (None,)), 2, 'receipt')
     answer = core.Answer(
         core.Outcome.DONE,
--- a/tests/adapters/test_wire.py
+++ b/tests/adapters/test_wire.py
@@ -1,4 +1,4 @@
-"""Session tokens on the wire."""
+"""Encoding and decoding of session tokens."""
 
 import base64
 
@@ -21,18 +21,18 @@
 
 
 @given(tokens)
-def test_a_token_comes_back_as_it_went(token):
+def test_a_token_round_trips(token):
     assert _wire.decode_token(_wire.encode_token(token)).unwrap() == token
 
 
 @given(st.text(max_size=80))
-def test_any_text_is_a_token_or_an_error(text):
+def test_arbitrary_text_decodes_or_is_an_error(text):
     found = _wire.decode_token(text)
     assert found.is_err() or isinstance(found.unwrap(), core.SessionToken)
 
 
 @given(st.binary(max_size=80))
-def test_any_bytes_are_a_token_or_an_error(raw):
+def test_arbitrary_bytes_decode_or_are_an_error(raw):
     text = base64.urlsafe_b64encode(raw).decode()
     found = _wire.decode_token(text)
     assert found.is_err() or isinstance(found.unwrap(), core.SessionToken)
@@ -42,7 +42,7 @@
     assert _wire.decode_token('A' * 5000).is_err()
 
 
-def test_a_position_only_rises():
+def test_a_position_never_decreases():
     token = core.SessionToken('s').seen('g', core.Position(2, 5))
     assert token.seen('g', core.Position(1, 99)) == token
     assert token.seen('g', core.Position(2, 4)) == token
--- a/tests/peers/test_links.py
+++ b/tests/peers/test_links.py
@@ -1,4 +1,4 @@
-"""Links between proxies over connections that fail."""
+"""Links between proxies over connections that fail or are slow."""
 
 import random
 
@@ -28,14 +28,14 @@
 
 
 async def test_a_link_that_goes_silent_is_made_anew(free_port):
-    heard = 0
+    received = 0
 
-    async def take(body: messages.PeerBody) -> None:
-        nonlocal heard
-        heard += 1
+    async def count_message(body: messages.PeerBody) -> None:
+        nonlocal received
+        received += 1
 
     server = _server.PeerServer(
-        _links.Address('127.0.0.1', free_port), KEY, take
+        _links.Address('127.0.0.1', free_port), KEY, count_message
     )
     relay = edge.Relay(free_port)
     own = _links.Address('127.0.0.1', 1)
@@ -46,31 +46,33 @@
         await tasks.start(links.run)
         address = _links.Address('127.0.0.1', relay.port)
 
-        async def hears() -> None:
-            before = heard
-            while heard == before:
+        async def message_arrives() -> None:
+            before = received
+            while received == before:
                 links.post(address, BEAT)
                 await anyio.sleep(0.05)
 
         with anyio.fail_after(10):
-            await hears()
+            await message_arrives()
         relay.silence()
         with anyio.fail_after(10):
-            await hears()
+            await message_arrives()
         tasks.cancel_scope.cancel()
 
 
-async def test_an_answer_that_takes_long_is_waited_for_while_it_comes(
-    free_port,
-):
-    """It takes 2 s on its link, longer than a probe of the link may take."""
+async def test_a_slow_answer_is_awaited_while_bytes_arrive(free_port):
+    """A large answer is not cut off while its bytes keep arriving.
+
+    The answer takes 2 s on its link, longer than a probe of the link may
+    take.
+    """
     document = random.Random(1).randbytes(400_000)
 
-    async def give(body: messages.PeerBody) -> messages.ConfigContent:
+    async def send_config(body: messages.PeerBody) -> messages.ConfigContent:
         return messages.ConfigContent(core.ConfigRef(2, ''), document)
 
     server = _server.PeerServer(
-        _links.Address('127.0.0.1', free_port), KEY, give
+        _links.Address('127.0.0.1', free_port), KEY, send_config
     )
     relay = edge.Relay(free_port, rate=200_000)
     links = _links.Links(KEY, _links.Address('127.0.0.1', 1))
@@ -79,8 +81,8 @@
         await tasks.start(relay.serve)
         await tasks.start(links.run)
         address = _links.Address('127.0.0.1', relay.port)
-        question = messages.AskConfig(core.ConfigRef(2, ''))
-        asked = await links.fetch(address, question, 0.3)
+        request = messages.AskConfig(core.ConfigRef(2, ''))
+        result = await links.fetch(address, request, 0.3)
         tasks.cancel_scope.cancel()
-    assert asked.answer is not None
-    assert asked.answer.document == document
+    assert result.answer is not None
+    assert result.answer.document == document
--- a/tests/peers/test_message_codec.py
+++ b/tests/peers/test_message_codec.py
@@ -1,4 +1,4 @@
-"""Messages between proxies, to bytes and back."""
+"""Encoding and decoding of messages between proxies."""
 
 import attrs
 import pytest
@@ -12,13 +12,13 @@
 )
 
 
-def test_a_heartbeat_tells_the_generation():
+def test_a_heartbeat_carries_the_store_generation():
     sent = codec.encode(messages.PeerMessage(BEAT))
     assert codec.decode(sent).body == BEAT
 
 
-def test_a_later_generation_is_news():
-    """Relays pass on what has changed only."""
+def test_a_later_generation_changes_the_revision():
+    """Relays forward only heartbeats whose revision has changed."""
     later = attrs.evolve(BEAT, store_generation=4)
     assert later.revision() != BEAT.revision()
 
@@ -31,6 +31,6 @@
         messages.QuotaBack('acme', 1234.5),
     ],
 )
-def test_messages_on_quotas_arrive_as_sent(body):
+def test_quota_messages_round_trip(body):
     sent = codec.encode(messages.PeerMessage(body))
     assert codec.decode(sent).body == body
--- a/tests/peers/test_packing.py
+++ b/tests/peers/test_packing.py
@@ -1,4 +1,4 @@
-"""Documents as they travel between proxies."""
+"""Compression of documents sent between proxies."""
 
 import zlib
 
@@ -10,7 +10,7 @@
 from tidegrade.peers import _packing
 
 
-def test_a_document_comes_back_as_it_was():
+def test_a_document_round_trips():
     content = messages.ConfigContent(core.ConfigRef(3, ''), b'{"a": 1}' * 999)
     raw = codec.encode(messages.PeerMessage(content, 1))
     assert len(raw) < 300
@@ -26,6 +26,6 @@
     ),
     ids=('other bytes', 'cut short', 'too large'),
 )
-def test_what_is_no_document_is_refused(packed):
+def test_invalid_packed_documents_are_refused(packed):
     with pytest.raises(_packing.NotPacked):
         _packing.unpack(packed)
