--- a/src/tidegrade/ports/__init__.py
+++ b/src/tidegrade/ports/__init__.py
@@ -1,4 +1,4 @@
-"""What the daemon needs from the outside, as protocols."""
+"""Protocols of what the proxy needs from, and offers to, the outside."""
 
 from tidegrade.ports._callers import Call
 from tidegrade.ports._callers import Callers
--- a/src/tidegrade/ports/_callers.py
+++ b/src/tidegrade/ports/_callers.py
@@ -1,4 +1,4 @@
-"""What the caller interface asks of the proxy."""
+"""The protocol through which the caller interface uses the proxy."""
 
 import typing
 
@@ -9,10 +9,11 @@
 
 @attrs.frozen
 class Call:
-    """One caller's request as it came over the caller interface.
+    """One request of a caller, as received by the caller interface.
 
-    ``time_left`` is in seconds from ``received``; ``max_age`` too, and
-    ``read_class`` names a configured one instead.
+    ``time_left`` until the deadline is in seconds from ``received``.
+    ``max_age`` is the staleness that a read accepts, in seconds;
+    ``read_class`` names a configured bound instead.
     """
 
     site: str
@@ -32,18 +33,18 @@
 
 
 class CallReply(typing.Protocol):
-    """The answer to a call, checked once more when it is sent."""
+    """The answer to a call; it is checked again when it is sent."""
 
     @property
     def session(self) -> str:
-        """Give the session token to return, empty if there is none."""
+        """Session token to return to the caller; empty without one."""
 
     def final(self) -> core.Answer:
-        """Give the answer that is true at this moment."""
+        """Return the answer that holds at this moment."""
 
 
 class Callers(typing.Protocol):
-    """Serves callers."""
+    """Serves the requests of callers."""
 
     async def call(self, call: Call) -> CallReply:
-        """Serve one call; every outcome is an answer."""
+        """Serve one call; failures are answers too, not exceptions."""
--- a/src/tidegrade/ports/_clock.py
+++ b/src/tidegrade/ports/_clock.py
@@ -1,10 +1,10 @@
-"""The clock that leases and deadlines are measured with."""
+"""The clock that measures leases and deadlines."""
 
 import typing
 
 
 class Clock(typing.Protocol):
-    """Gives seconds that also pass while the machine is suspended."""
+    """A monotonic clock that also advances while the VM is suspended."""
 
     def now(self) -> float:
-        """Give the current time in seconds from some fixed moment."""
+        """Return the seconds since an arbitrary fixed moment."""
--- a/src/tidegrade/ports/_endpoint.py
+++ b/src/tidegrade/ports/_endpoint.py
@@ -1,4 +1,4 @@
-"""Connections to endpoints."""
+"""Protocols of connections to endpoints."""
 
 import typing
 
@@ -13,9 +13,9 @@
 class ConnectProblem:
     """Why a connection could not be opened.
 
-    ``refused`` says that the endpoint's machine is there and nobody
-    listens on the port, ``full`` that the endpoint itself answered that it
-    has as many connections as it takes.
+    ``refused`` is true if the endpoint's VM is reachable but nothing
+    listens on the port, ``full`` if the endpoint answered that it has reached
+    its limit of connections.
     """
 
     detail: str
@@ -24,26 +24,27 @@
 
 
 class EndpointConn(typing.Protocol):
-    """One connection, used by one job at a time."""
+    """A connection to an endpoint; it runs one job at a time."""
 
     async def run(self, job: core.Job) -> core.JobOutcome:
-        """Carry out a job; a failure is a value."""
+        """Run a job; a failure is returned, not raised."""
 
     def abort(self) -> None:
-        """Cut the connection at once; a running job then ends as lost."""
+        """Close the connection at once; a running job ends as lost."""
 
     async def close(self) -> None:
-        """Free what the connection holds."""
+        """Release the resources of the connection."""
 
 
 class Endpoints(typing.Protocol):
-    """Opens connections."""
+    """Opens connections to endpoints."""
 
     async def connect(
         self, endpoint: config.Endpoint, group: config.Group, tenant: str
     ) -> result.Result[EndpointConn, ConnectProblem]:
         """Open a connection to an endpoint of a group.
 
-        It will bring the statements of ``tenant``; if that is empty, those
-        of this proxy, or of all where endpoints ask for no tenant.
+        The connection carries statements of ``tenant``. If that is empty, it
+        carries those of the proxy itself, or of all tenants where endpoints do
+        not ask for a tenant.
         """
--- a/src/tidegrade/ports/_operators.py
+++ b/src/tidegrade/ports/_operators.py
@@ -1,4 +1,4 @@
-"""What the operators' interface asks of the proxy."""
+"""The protocol through which the operators' interface uses the proxy."""
 
 import typing
 
@@ -7,7 +7,11 @@
 
 @attrs.frozen
 class HistoryEntry:
-    """An accepted configuration: who applied it, when (UTC), under what."""
+    """An accepted configuration.
+
+    ``by`` is the operator who applied it, ``at`` the time in UTC, and
+    ``apply_id`` the id of the attempt.
+    """
 
     version: int
     sha256: str
@@ -18,9 +22,10 @@
 
 @attrs.frozen
 class ApplyOrder:
-    """An operator's file; ``base`` is the version it was written against.
+    """A configuration file that an operator applies.
 
-    ``apply_id`` names this attempt, so that it can be repeated safely.
+    ``base`` is the version that the file was written against. ``apply_id``
+    identifies the attempt, so that it can be repeated safely.
     """
 
     document: bytes
@@ -30,18 +35,19 @@
 
 @attrs.frozen
 class Applied:
-    """The file is accepted as this version."""
+    """The file was accepted as ``version``."""
 
     version: int
 
 
 @attrs.frozen
 class ApplyProblem:
-    """Why a file isn't accepted.
+    """Why a file was not accepted.
 
-    ``code`` is ``invalid``, ``conflict`` (another file won, ``winner``
-    tells which) or ``unavailable`` (``unknown`` says that the file may
-    have been accepted; repeat with the same ``apply_id`` to find out).
+    ``code`` is ``invalid``, ``conflict`` (another file, ``winner``, was
+    accepted first) or ``unavailable``. ``unknown`` is true if the file may
+    have been accepted all the same; repeating the attempt with the same
+    ``apply_id`` shows whether it was.
     """
 
     code: str
@@ -51,24 +57,24 @@
 
 
 class Operators(typing.Protocol):
-    """Serves operators."""
+    """Serves the requests of operators."""
 
     def operator_of(self, authorization: str) -> str | None:
-        """Give whose key this is, or None."""
+        """Return the operator whose key is presented, or None."""
 
     def current(self) -> tuple[int, bytes]:
-        """Give the version in force and its document."""
+        """Return the version in force and its document."""
 
     async def history(self) -> list[HistoryEntry] | None:
-        """Give the accepted configurations; None if unreachable."""
+        """Return the accepted configurations; None if out of reach."""
 
     async def apply(
         self, order: ApplyOrder, operator: str
     ) -> Applied | ApplyProblem:
-        """Have a file accepted as a whole, or not at all."""
+        """Apply a file as a whole, or not at all."""
 
     def status(self) -> dict[str, object]:
-        """Give what this proxy knows, ready for JSON."""
+        """Return the state of this proxy as values for JSON."""
 
     def drain(self) -> None:
         """Begin a graceful shutdown."""
--- a/src/tidegrade/ports/_platform.py
+++ b/src/tidegrade/ports/_platform.py
@@ -1,4 +1,4 @@
-"""The platform's table service, object store and VM list."""
+"""Protocols of the platform's table, object store and VM list."""
 
 from collections.abc import Collection
 import enum
@@ -10,10 +10,10 @@
 
 @attrs.frozen
 class Versioned:
-    """A table row's value and the tag of this version of it.
+    """The value of a table row and the tag of this version of it.
 
-    ``generation`` rises each time that the table comes back from an older
-    copy of itself; a tag holds within its generation only.
+    ``generation`` rises each time the table is restored from an older copy;
+    a tag is valid only within its generation.
     """
 
     value: bytes
@@ -22,31 +22,34 @@
 
 
 class WriteProblem(enum.Enum):
-    """Why a conditional write gave no new version."""
+    """Why a conditional write did not return a new version."""
 
-    #: Another version is there; nothing was changed by this write.
+    #: The row has another version; this write changed nothing.
     CONFLICT = 'conflict'
-    #: No answer: the change may have taken effect.
+    #: No answer arrived; the write may have taken effect.
     UNKNOWN = 'unknown'
 
 
 class Table(typing.Protocol):
-    """Rows with compare-and-set."""
+    """A table of rows with compare-and-set writes."""
 
     @property
     def generation(self) -> int:
-        """Give how often the table came back from an older copy of itself.
+        """Number of times the table was restored from an older copy.
 
-        0 as long as it does not tell.
+        0 as long as the platform has not reported it.
         """
 
     async def read(self, key: str) -> result.Result[Versioned | None, str]:
-        """Give a row, None if there is none, or why it can't be read."""
+        """Return a row, None if it is absent, or why the read failed."""
 
     async def write(
         self, key: str, value: bytes, expected: str | None
     ) -> result.Result[str, WriteProblem]:
-        """Write a row if its tag is ``expected`` (None: it is absent)."""
+        """Write a row if its tag is ``expected`` (None: it is absent).
+
+        Returns the new tag.
+        """
 
     async def delete(
         self, key: str, expected: str
@@ -56,25 +59,25 @@
     async def read_all(
         self, keys: Collection[str]
     ) -> result.Result[dict[str, Versioned], str]:
-        """Give those of some rows that are there, as of one moment."""
+        """Return those of the rows that exist, as of one moment."""
 
     async def scan(self, prefix: str) -> result.Result[dict[str, bytes], str]:
-        """Give the rows whose keys begin with ``prefix``."""
+        """Return the values of all rows whose keys begin with ``prefix``."""
 
 
 class ObjectStore(typing.Protocol):
-    """Objects named by their content's hash."""
+    """A store of objects that are named by the hash of their content."""
 
     async def get(self, name: str) -> result.Result[bytes | None, str]:
-        """Give an object, or None if there is none."""
+        """Return an object, or None if there is none."""
 
     async def put(self, name: str, content: bytes) -> result.Result[None, str]:
-        """Store an object; storing the same again does no harm."""
+        """Store an object; storing the same one again is harmless."""
 
 
 @attrs.frozen
 class Vm:
-    """An entry of the VM list; it may lag behind reality."""
+    """An entry of the VM list, which may be stale."""
 
     id: str
     role: str
@@ -88,4 +91,4 @@
     """The platform's list of live and leaving VMs."""
 
     async def vms(self) -> result.Result[list[Vm], str]:
-        """Give the list."""
+        """Return the list, or why it can't be read."""
--- a/src/tidegrade/ports/_sessions.py
+++ b/src/tidegrade/ports/_sessions.py
@@ -1,4 +1,4 @@
-"""What a program whose callers hold sessions needs from outside."""
+"""Protocols of a proxy whose callers keep sessions open."""
 
 from collections.abc import Callable
 import typing
@@ -14,9 +14,10 @@
 
 @attrs.frozen
 class EndpointEntry:
-    """An endpoint as the platform lists it; the list may lag.
+    """An entry of the platform's list of endpoints, which may be stale.
 
-    ``leads`` says that the endpoint takes itself for the primary.
+    ``slots`` is how many statements the endpoint runs at once. ``leads`` is
+    true if the endpoint considers itself the primary.
     """
 
     id: str
@@ -33,8 +34,8 @@
 class EndpointList:
     """The endpoints of all groups; ``version`` rises with each reading.
 
-    ``generation`` is that of the platform's lists, which may come back from
-    an older copy; versions of a later one are greater.
+    ``generation`` is that of the platform's lists, which may be restored from
+    an older copy. Versions of a later generation are greater.
     """
 
     version: int
@@ -44,9 +45,9 @@
 
 @attrs.frozen
 class ConfigSeen:
-    """The configuration that the platform showed as the newest one.
+    """The configuration that the platform last reported as the newest.
 
-    ``age`` is how long ago it did, in seconds, or more.
+    ``age`` is an upper bound on the time since then, in seconds.
     """
 
     version: int
@@ -57,48 +58,51 @@
     """The platform's list of endpoints and the accepted configuration."""
 
     async def endpoints(self) -> result.Result[EndpointList, str]:
-        """Give the endpoints listed at this moment, or why not."""
+        """Return the endpoints listed at present, or why it failed."""
 
     async def next_catalogue(self) -> sessions.Catalogue:
-        """Give the configuration; after the first, wait for a newer one."""
+        """Return the configuration.
+
+        Each call after the first waits for a newer one.
+        """
 
     def watch(self, watching: bool) -> None:
-        """Say whether this proxy looks out for the others.
+        """Set whether this proxy watches the platform for the others.
 
-        One that doesn't asks the platform for no more than the first
-        configuration, and learns of others by :meth:`offer`.
+        A proxy that doesn't asks the platform for its first configuration
+        only, and receives later ones through :meth:`offer`.
         """
 
     @property
     def answers(self) -> bool:
-        """Tell whether the platform answered when it was last asked."""
+        """Whether the platform answered the last request."""
 
     @property
     def seen(self) -> ConfigSeen | None:
-        """Give what the platform showed this proxy last, if anything."""
+        """What the platform last reported to this proxy, if anything."""
 
     def read_now(self) -> None:
-        """Read the configuration once, also if this proxy doesn't watch."""
+        """Read the configuration once, even if this proxy doesn't watch."""
 
     @property
     def document(self) -> bytes:
-        """Give the newest configuration for peers; it holds no keys."""
+        """The newest configuration, as sent to peers; it has no keys."""
 
     def offer(self, document: bytes) -> None:
-        """Take in the configuration as another proxy has it."""
+        """Consider a configuration received from another proxy."""
 
 
 class SessionService(typing.Protocol):
-    """Serves the sessions that a door brings."""
+    """Opens the sessions of callers that a :class:`Door` accepted."""
 
     def open(
         self, database: str, caller: tenants.Caller
     ) -> result.Result[sessions.Session, core.Code]:
-        """Begin a session on a database, or say why not."""
+        """Open a session on a database, or return why it is refused."""
 
 
 class Door(typing.Protocol):
-    """Takes callers' connections and speaks their protocol."""
+    """Accepts connections of callers and implements their protocol."""
 
     async def serve(
         self,
@@ -109,20 +113,23 @@
         """Serve until cancelled."""
 
     def stop_accepting(self) -> None:
-        """Take no new connections; those that were taken go on."""
+        """Accept no new connections; existing ones continue."""
 
     def close_refused(self, wanted: bool) -> None:
-        """Close each session after a refusal from now on, or do no more."""
+        """Set whether a session is closed after a refusal."""
 
     def close_answered(self, wanted: bool) -> None:
-        """Close each session with an answer that leaves it at rest, or not."""
+        """Set whether a session closes with an answer that leaves it idle."""
 
     def close_resting(self) -> int:
-        """Close sessions that rest for long; give how many are open."""
+        """Close sessions that are idle for long.
+
+        Returns how many are still open.
+        """
 
 
 class StatusPages(typing.Protocol):
-    """Tells the platform's balancer and the operators how it goes."""
+    """Reports readiness and metrics to the load balancer and operators."""
 
     async def serve(
         self,
