--- a/src/tidegrade/tenants/__init__.py
+++ b/src/tidegrade/tenants/__init__.py
@@ -1,4 +1,4 @@
-"""Tenants: whose key a caller presents, and how much a tenant may do."""
+"""Tenants: their keys, the callers that present them, and their limits."""
 
 from tidegrade.tenants._callers import Caller
 from tidegrade.tenants._keyring import Keyring
--- a/src/tidegrade/tenants/_callers.py
+++ b/src/tidegrade/tenants/_callers.py
@@ -1,4 +1,4 @@
-"""Who calls, without the secret that it has presented."""
+"""The identity of a caller, without the key that it presented."""
 
 import hashlib
 import secrets
@@ -7,18 +7,19 @@
 
 from tidegrade.tenants import _keys
 
-#: Makes labels worthless outside this process: nobody can try keys on them.
+#: Random key of the label hash: without it, labels from the logs can't be used
+#: to test guesses of keys.
 _LABEL_SALT = secrets.token_bytes(16)
-#: Bytes of a label: few alike among the callers of one process.
+#: Bytes of a label: collisions are rare among the callers of one process.
 LABEL_BYTES = 6
 
 
 @attrs.frozen
 class Caller:
-    """Whoever has presented a key, or a name that nobody vouches for.
+    """A caller, identified by a key or by an unverified name.
 
-    ``label`` stands for it in logs and in queues; it is the same for one
-    key as long as the process runs. The key itself is not kept.
+    ``label`` identifies the caller in logs and queues; a key has the same
+    label as long as the process runs. The key itself is not kept.
     """
 
     key_hash: str = attrs.field(repr=False)
@@ -26,7 +27,7 @@
 
     @classmethod
     def presenting(cls, key: str) -> 'Caller':
-        """Give the caller that has presented a key."""
+        """Return the caller that presented ``key``."""
         digest = _keys.key_hash(key)
         label = hashlib.blake2b(
             digest.encode(), key=_LABEL_SALT, digest_size=LABEL_BYTES
--- a/src/tidegrade/tenants/_keyring.py
+++ b/src/tidegrade/tenants/_keyring.py
@@ -1,4 +1,4 @@
-"""Whose key it is."""
+"""Lookup of tenants by their keys."""
 
 from collections.abc import Iterable
 from collections.abc import Iterator
@@ -7,13 +7,13 @@
 
 from tidegrade.tenants import _tenant
 
-#: Key of the lookup below, unknown outside this process: how long a lookup
-#: takes then tells nothing about the keys that are configured.
+#: Random key of the lookup hash. Since it is unknown outside the process, the
+#: time that a lookup takes reveals nothing about the configured keys.
 _LOOKUP_KEY = secrets.token_bytes(32)
 
 
 class Keyring:
-    """The tenants of one version of a configuration, by their keys."""
+    """The tenants of one configuration version, by key hash and by name."""
 
     def __init__(self, tenants: Iterable[_tenant.Tenant]) -> None:
         self._by_name = {tenant.name: tenant for tenant in tenants}
@@ -30,11 +30,11 @@
         return f'Keyring({sorted(self._by_name)})'
 
     def holder_of(self, key_hash: str) -> _tenant.Tenant | None:
-        """Give whose key has this hash, or None."""
+        """Return the tenant that has the key with this hash, or None."""
         return self._by_key.get(_lookup_hash(key_hash))
 
     def named(self, name: str) -> _tenant.Tenant | None:
-        """Give a tenant by its name, or None."""
+        """Return the tenant of this name, or None."""
         return self._by_name.get(name)
 
 
--- a/src/tidegrade/tenants/_keys.py
+++ b/src/tidegrade/tenants/_keys.py
@@ -1,12 +1,12 @@
-"""Keys are secrets: what is kept of one is a hash."""
+"""Hashing of keys, which are secrets and not kept themselves."""
 
 import hashlib
 
 
 def key_hash(key: str) -> str:
-    """Give the hash under which a key is kept, in hex digits.
+    """Return the SHA-256 hash that is kept of a key, as hex digits.
 
-    Keys are long and random, so that a hash of one tells nothing of it.
+    Keys are long and random, so a plain hash reveals nothing about them.
     """
     raw = key.encode('utf-8', 'surrogateescape')
     return hashlib.sha256(raw).hexdigest()
--- a/src/tidegrade/tenants/_tenant.py
+++ b/src/tidegrade/tenants/_tenant.py
@@ -1,14 +1,15 @@
-"""A tenant, as the configuration describes it."""
+"""A tenant as configured."""
 
 import attrs
 
 
 @attrs.frozen
 class Tenant:
-    """One customer: the hashes of its keys, and how much it may do.
+    """A customer: the hashes of its keys, and its limits.
 
-    ``rate`` is in operations a second over all proxies together, ``burst``
-    how many it may have saved up. ``priority`` 0 goes first.
+    ``rate`` is its limit in operations a second over all proxies together,
+    ``burst`` the number of operations that it may save up. Requests of
+    ``priority`` 0 are served first.
     """
 
     name: str
