--- a/src/tidegrade/config/__init__.py
+++ b/src/tidegrade/config/__init__.py
@@ -1,4 +1,4 @@
-"""The configuration document: its shape, its checks and its changes."""
+"""The configuration document: its structure and its validation."""
 
 from tidegrade.config._checks import problems_of
 from tidegrade.config._document import Acknowledge
--- a/src/tidegrade/config/_checks.py
+++ b/src/tidegrade/config/_checks.py
@@ -1,4 +1,4 @@
-"""Rules that a configuration must meet beyond its shape."""
+"""Validation of a configuration beyond its structure."""
 
 import ipaddress
 import re
@@ -10,7 +10,7 @@
 
 
 def problems_of(doc: _document.Document) -> list[str]:
-    """Give what is wrong, each with its path; empty if all is well."""
+    """Return the problems found, each with its path; empty if valid."""
     found: list[str] = []
     if doc.max_proxies < 1:
         found.append('expected at least 1 at $.max_proxies')
@@ -81,7 +81,8 @@
         _check_endpoint(endpoint, doc, at, found)
 
 
-#: Polls must be several times as frequent as permissions lapse.
+#: Longest interval between polls, in seconds. Polls renew write permissions,
+#: which last a second, so they must be several times as frequent.
 MAX_POLL_INTERVAL = 0.3
 
 
--- a/src/tidegrade/config/_document.py
+++ b/src/tidegrade/config/_document.py
@@ -1,4 +1,4 @@
-"""The configuration document: what operators apply as a whole."""
+"""The configuration document, which operators apply as a whole."""
 
 import enum
 
@@ -6,22 +6,24 @@
 
 
 class Acknowledge(enum.Enum):
-    """When a write counts as done."""
+    """When a write is acknowledged."""
 
-    #: Once the primary has committed; lost with it if it fails at once.
+    #: Once the primary has committed; the write is lost if the primary fails
+    #: right afterwards.
     PRIMARY = 'primary'
     #: Once a majority of the group's endpoints hold it durably.
     MAJORITY = 'majority'
 
 
 class ReadPolicy(enum.Enum):
-    """How reads are spread; all but the first are there to compare."""
+    """Where reads are routed; all but the first exist for comparison."""
 
-    #: A replica that covers the session, after a short wait if need be.
+    #: To a replica that has caught up with the session, after a short wait if
+    #: necessary.
     SESSION_REPLICA = 'session_replica'
-    #: The primary for everything.
+    #: Always to the primary.
     PRIMARY_ONLY = 'primary_only'
-    #: The primary for five seconds after a write, then any replica.
+    #: To the primary for five seconds after a write, then to any replica.
     PRIMARY_AFTER_WRITE = 'primary_after_write'
 
 
@@ -29,8 +31,8 @@
 class Endpoint:
     """One database instance.
 
-    ``max_connections`` is the cap over all proxies together;
-    ``slots`` how many statements it runs at once.
+    ``max_connections`` is the limit over all proxies together, ``slots`` the
+    number of statements that the endpoint runs at once.
     """
 
     host: str
@@ -42,7 +44,10 @@
 
 @attrs.frozen
 class ReadClass:
-    """A named staleness bound in seconds; None leaves only the session."""
+    """A named bound on staleness, in seconds.
+
+    With None, only the session limits which replicas may serve a read.
+    """
 
     max_age_s: float | None = None
 
@@ -51,9 +56,9 @@
 class Group:
     """One replicated database.
 
-    ``suspect_after_s`` is how long a primary may be silent. Interactive
-    transactions end after ``txn_limit_s``, or ``txn_idle_s`` without a
-    statement.
+    A primary that is silent for ``suspect_after_s`` is suspected to have
+    failed. An interactive transaction ends after ``txn_limit_s``, or after
+    ``txn_idle_s`` without a statement.
     """
 
     endpoints: dict[str, Endpoint]
@@ -73,7 +78,7 @@
 
 @attrs.frozen
 class Tenant:
-    """One customer of a site; only the hash of its key is kept."""
+    """A customer of a site; only the hash of its key is stored."""
 
     key_sha256: str
     max_in_flight: int = 64
@@ -93,8 +98,8 @@
     """The whole configuration.
 
     ``max_proxies`` bounds how many proxies may share the connections of an
-    endpoint: each takes an equal part of the cap, so the sum never passes
-    it whatever each proxy believes about the others.
+    endpoint. Each proxy uses an equal share of the endpoint's limit, so the
+    sum never exceeds it, whatever each proxy believes about the others.
     """
 
     sites: dict[str, Site]
