--- a/src/tidegrade/codec/__init__.py
+++ b/src/tidegrade/codec/__init__.py
@@ -1,1 +1,1 @@
-"""Plain data as JSON: settings, rows of the table, results."""
+"""Conversion of settings, table rows and result sets to and from JSON."""
--- a/src/tidegrade/codec/_results.py
+++ b/src/tidegrade/codec/_results.py
@@ -1,4 +1,4 @@
-"""Result sets as JSON, towards callers and in the key table."""
+"""Result sets as JSON, for callers and for the table of idempotency keys."""
 
 import base64
 
@@ -8,19 +8,25 @@
 
 
 def plain(value: object) -> object:
-    """Give a JSON value for what JSON has no type for."""
+    """Return a JSON value for a value of a type that JSON lacks.
+
+    Bytes become base64 text, anything else its ``str()``.
+    """
     if isinstance(value, bytes | bytearray | memoryview):
         return base64.b64encode(bytes(value)).decode('ascii')
     return str(value)
 
 
 def to_json(value: object) -> bytes:
-    """Serialize; numbers of any precision and times become strings."""
+    """Return a value as JSON.
+
+    Numbers of arbitrary precision and times become strings.
+    """
     return orjson.dumps(value, default=plain)
 
 
 def as_plain(results: tuple[core.ResultSet, ...]) -> list[object]:
-    """Give result sets as lists and maps ready for JSON."""
+    """Return result sets as lists and dictionaries for JSON."""
     return [
         {
             'columns': list(found.columns),
@@ -32,12 +38,12 @@
 
 
 def kept(results: tuple[core.ResultSet, ...]) -> str:
-    """Give the text under which results are kept with their key."""
+    """Return the text that is stored for results with their key."""
     return to_json(as_plain(results)).decode('utf-8')
 
 
 def restored(text: str | None) -> tuple[core.ResultSet, ...]:
-    """Give the result sets that were kept."""
+    """Return the result sets from their stored text."""
     if not text:
         return ()
     return tuple(
@@ -51,7 +57,7 @@
 
 
 def size_of(results: tuple[core.ResultSet, ...]) -> int:
-    """Give about how many bytes the results take as JSON."""
+    """Return the approximate size of the results as JSON, in bytes."""
     total = 0
     for found in results:
         for row in found.rows:
--- a/src/tidegrade/codec/_rows.py
+++ b/src/tidegrade/codec/_rows.py
@@ -1,4 +1,4 @@
-"""The platform's rows as JSON."""
+"""Rows of the platform's table as JSON."""
 
 import attrs
 import cattrs
@@ -12,11 +12,11 @@
 
 
 def row_key(site: str, group: str) -> str:
-    """Give the key of a group's row."""
+    """Return the key of a group's row."""
     return f'groups/{site}/{group}'
 
 
-#: Prefix of the keys under which proxies register, each by its VM.
+#: Prefix of the keys under which proxies register; the VM's id follows.
 HOLDERS = 'proxies/'
 #: Key of the row that points to the accepted configuration.
 CONFIG = 'config'
@@ -24,10 +24,10 @@
 
 @attrs.frozen
 class Registered:
-    """A VM's entry: its failure domain, and where peers reach its proxy.
+    """A VM's row: its failure domain, and the address of its proxy.
 
-    ``proxy`` is the run that registered last. A VM runs one at a time, so
-    one that registers takes the place of the run before.
+    ``proxy`` is the id of the proxy process that registered last. A VM runs
+    one at a time, so a process that registers replaces the one before.
     """
 
     domain: str
@@ -37,12 +37,12 @@
 
 
 def encode_registered(entry: Registered) -> bytes:
-    """Give a proxy's entry as JSON."""
+    """Return a VM's row as JSON."""
     return orjson.dumps(_converter.unstructure(entry))
 
 
 def decode_registered(value: bytes) -> result.Result[Registered, str]:
-    """Read a proxy's entry."""
+    """Return a VM's row, or why it is malformed."""
     read = _structure.structure_lenient(value, Registered)
     return read.map_err(
         lambda errors: f'a registration is malformed: {"; ".join(errors)}'
@@ -50,14 +50,14 @@
 
 
 def encode_row(row: core.GroupRow) -> bytes:
-    """Give a group's row as JSON."""
+    """Return a group's row as JSON."""
     plain = _converter.unstructure(row)
     plain['members'] = sorted(plain['members'])
     return orjson.dumps(plain)
 
 
 def decode_row(value: bytes) -> result.Result[core.GroupRow, str]:
-    """Read a group's row."""
+    """Return a group's row, or why it is malformed."""
     read = _structure.structure_lenient(value, core.GroupRow)
     return read.map_err(
         lambda errors: f'a group row is malformed: {"; ".join(errors)}'
--- a/src/tidegrade/codec/_structure.py
+++ b/src/tidegrade/codec/_structure.py
@@ -1,4 +1,4 @@
-"""JSON into attrs classes, with errors that name the path."""
+"""Conversion of JSON to attrs classes, with errors that name the path."""
 
 import typing
 
@@ -11,7 +11,7 @@
 
 
 def _exact(kind: type) -> typing.Callable[[object, type], object]:
-    """Give a hook that takes only values which have the type already."""
+    """Return a hook that accepts only values of exactly this type."""
 
     def hook(value: object, _: type) -> object:
         if type(value) is not kind:
@@ -28,7 +28,7 @@
 
 
 def _exact_converter(forbid_extra_keys: bool) -> cattrs.Converter:
-    """Give a converter that coerces nothing."""
+    """Return a converter that does not coerce values to other types."""
     made = cattrs.Converter(forbid_extra_keys=forbid_extra_keys)
     made.register_structure_hook(int, _exact(int))
     made.register_structure_hook(bool, _exact(bool))
@@ -41,12 +41,12 @@
 
 
 _converter = _exact_converter(forbid_extra_keys=True)
-#: For files of others, who may add fields at any time.
+#: For data of other programs and versions, which may add fields at any time.
 _lenient = _exact_converter(forbid_extra_keys=False)
 
 
 def structure(raw: bytes, kind: type[T]) -> result.Result[T, list[str]]:
-    """Read JSON as ``kind``; the errors say where and what was expected."""
+    """Convert JSON to ``kind``; errors name the path and what was expected."""
     try:
         plain = orjson.loads(raw)
     except orjson.JSONDecodeError as exc:
@@ -57,7 +57,7 @@
 def structure_lenient(
     raw: bytes, kind: type[T]
 ) -> result.Result[T, list[str]]:
-    """Read JSON as ``kind``, leaving out fields that it doesn't have."""
+    """Convert JSON to ``kind``, ignoring unknown fields."""
     try:
         plain = orjson.loads(raw)
     except orjson.JSONDecodeError as exc:
@@ -68,7 +68,7 @@
 def structure_plain(
     plain: object, kind: type[T], converter: cattrs.Converter = _converter
 ) -> result.Result[T, list[str]]:
-    """Turn parsed JSON into ``kind``; errors as for ``structure``."""
+    """Convert parsed JSON to ``kind``; errors as for :func:`structure`."""
     try:
         return result.Ok(converter.structure(plain, kind))
     except (cattrs.BaseValidationError, TypeError, ValueError) as exc:
@@ -83,12 +83,12 @@
 
 
 def unstructure(value: object) -> typing.Any:
-    """Give plain JSON values for an attrs object."""
+    """Return an attrs object as plain JSON values."""
     return _converter.unstructure(value)
 
 
 def to_json(value: object) -> bytes:
-    """Give an attrs object, or a collection of such, as JSON."""
+    """Return an attrs object, or a collection of them, as JSON."""
     return orjson.dumps(unstructure(value))
 
 
--- a/tests/codec/test_rows.py
+++ b/tests/codec/test_rows.py
@@ -1,4 +1,4 @@
-"""Rows of the table, as another writer may have left them."""
+"""Decoding of table rows, including malformed ones of other writers."""
 
 import json
 
@@ -19,7 +19,7 @@
 )
 ENTRY = _rows.Registered('a', '10.0.0.1', 7440, 'p.0')
 
-#: Values of JSON, with the names that rows have.
+#: Field names of rows, for random JSON values.
 NAMES = st.sampled_from(
     ['term', 'primary', 'members', 'forks', 'attempt', 'id', 'domain', 'port']
 )
@@ -36,7 +36,7 @@
 )
 
 
-def test_rows_come_back_as_they_were():
+def test_rows_round_trip():
     assert _rows.decode_row(_rows.encode_row(ROW)).unwrap() == ROW
     raw = _rows.encode_registered(ENTRY)
     assert _rows.decode_registered(raw).unwrap() == ENTRY
@@ -45,20 +45,23 @@
 @given(values)
 @example(None)
 @example(7)
-def test_any_value_is_a_row_or_a_reason(value):
-    """Values that are no object ended the process that read them."""
+def test_arbitrary_json_decodes_or_is_an_error(value):
+    """A JSON value that is not an object must not raise in the reader.
+
+    An uncaught exception ends the process that reads the row.
+    """
     raw = json.dumps(value).encode()
     for read in (_rows.decode_row(raw), _rows.decode_registered(raw)):
         assert read.is_ok() or read.unwrap_err()
 
 
 @given(st.binary(max_size=80))
-def test_any_bytes_are_a_reason(raw):
+def test_arbitrary_bytes_are_an_error(raw):
     assert _rows.decode_row(raw).is_err()
     assert _rows.decode_registered(raw).is_err()
 
 
 @pytest.mark.parametrize('port', ('7440', 7440.0, True, None))
-def test_nothing_is_coerced(port):
+def test_values_are_not_coerced_to_other_types(port):
     plain = {**json.loads(_rows.encode_registered(ENTRY)), 'port': port}
     assert _rows.decode_registered(json.dumps(plain).encode()).is_err()
