--- a/src/tidegrade/config/_checks.py
+++ b/src/tidegrade/config/_checks.py
@@ -66,9 +66,9 @@
         path,
         found,
     )
-    if group.poll_interval_s > MAX_POLL_INTERVAL:
+    if group.poll_interval_s > MAX_POLL_INTERVAL_S:
         found.append(
-            f'expected at most {MAX_POLL_INTERVAL} at'
+            f'expected at most {MAX_POLL_INTERVAL_S} at'
             f' {path}.poll_interval_s: write permissions last a second'
         )
     for name, read_class in group.read_classes.items():
@@ -83,7 +83,7 @@
 
 #: Longest interval between polls, in seconds. Polls renew write permissions,
 #: which last a second, so they must be several times as frequent.
-MAX_POLL_INTERVAL = 0.3
+MAX_POLL_INTERVAL_S = 0.3
 
 
 def _check_endpoint(
