--- a/tests/tenants/test_presented_keys.py
+++ b/tests/tenants/test_presented_keys.py
@@ -13,10 +13,10 @@
 
 
 def test_a_label_is_stable_and_differs_between_keys():
-    caller, same = (tenants.Caller.presenting(KEY) for _ in range(2))
+    first, same = (tenants.Caller.presenting(KEY) for _ in range(2))
     other = tenants.Caller.presenting(KEY + 'x')
-    assert caller == same
-    assert caller.label != other.label
+    assert first == same
+    assert first.label != other.label
 
 
 def test_a_key_that_is_not_utf8_is_accepted():
