--- a/src/tidegrade/adapters/_postgres.py
+++ b/src/tidegrade/adapters/_postgres.py
@@ -270,7 +270,7 @@
         report = await _report(status)
         return core.JobDone(
             report,
-            _results.restored(row[1]),
+            _results.load_results(row[1]),
             after_lsn=report.lsn,
             replayed=True,
         )
@@ -286,7 +286,7 @@
         try:
             async with self._conn.pipeline():
                 if job.key is not None:
-                    kept = _results.kept(job.results)
+                    kept = _results.dump_results(job.results)
                     await self._conn.execute(sql.KEEP_RESULT, (kept, job.key))
                 commit = await self._conn.execute('COMMIT')
                 status = await self._conn.execute(sql.STATUS)
--- a/src/tidegrade/codec/_results.py
+++ b/src/tidegrade/codec/_results.py
@@ -37,12 +37,12 @@
     ]
 
 
-def kept(results: tuple[core.ResultSet, ...]) -> str:
+def dump_results(results: tuple[core.ResultSet, ...]) -> str:
     """Return the text that is stored for results with their key."""
     return to_json(as_plain(results)).decode('utf-8')
 
 
-def restored(text: str | None) -> tuple[core.ResultSet, ...]:
+def load_results(text: str | None) -> tuple[core.ResultSet, ...]:
     """Return the result sets from their stored text."""
     if not text:
         return ()
--- a/src/tidegrade/codec/_rows.py
+++ b/src/tidegrade/codec/_rows.py
@@ -17,7 +17,7 @@
 
 
 #: Prefix of the keys under which proxies register; the VM's id follows.
-HOLDERS = 'proxies/'
+PROXIES_PREFIX = 'proxies/'
 #: Key of the row that points to the accepted configuration.
 CONFIG = 'config'
 
--- a/src/tidegrade/daemon/_peers_task.py
+++ b/src/tidegrade/daemon/_peers_task.py
@@ -188,11 +188,11 @@
 
     async def ask_within(
         self, proxy: str, body: messages.PeerBody, limit: float
-    ) -> _links.Asked:
+    ) -> _links.AskResult:
         """Ask one proxy; the result says if the question was sent."""
         address = self._roster.address_of(proxy)
         if address is None:
-            return _links.Asked(sent=False)
+            return _links.AskResult(sent=False)
         return await self._links.ask(address, body, limit)
 
     async def fetch(
--- a/src/tidegrade/daemon/_registration.py
+++ b/src/tidegrade/daemon/_registration.py
@@ -33,7 +33,7 @@
     ) -> None:
         self._deps = deps
         self._registered = registered
-        self._key = _rows.HOLDERS + core.vm_of(deps.proxy_id)
+        self._key = _rows.PROXIES_PREFIX + core.vm_of(deps.proxy_id)
         self._tag = ''
         self._wanted = anyio.Event()
 
--- a/src/tidegrade/daemon/_row_task.py
+++ b/src/tidegrade/daemon/_row_task.py
@@ -173,7 +173,7 @@
         self._post(supervision.RowLost())
 
     async def _list_holders(self) -> None:
-        listed = await self._table.scan(_rows.HOLDERS)
+        listed = await self._table.scan(_rows.PROXIES_PREFIX)
         if listed.is_err():
             self._post(supervision.RowLost())
             return
--- a/src/tidegrade/peers/_links.py
+++ b/src/tidegrade/peers/_links.py
@@ -98,7 +98,9 @@
         """Queue a message that needs no answer; return whether it was."""
         return self._queue(messages.PeerMessage(body))
 
-    async def ask(self, body: messages.PeerBody, time_limit: float) -> 'Asked':
+    async def ask(
+        self, body: messages.PeerBody, time_limit: float
+    ) -> 'AskResult':
         """Send a request and wait for its answer for ``time_limit`` seconds.
 
         An answer that arrives later is dropped and never matched to another
@@ -106,7 +108,9 @@
         """
         return await self._ask(body, time_limit, time_limit)
 
-    async def fetch(self, body: messages.PeerBody, silence: float) -> 'Asked':
+    async def fetch(
+        self, body: messages.PeerBody, silence: float
+    ) -> 'AskResult':
         """Send a request and wait while bytes of its answer keep arriving.
 
         The request ends once nothing has arrived for ``silence`` seconds, or
@@ -118,7 +122,7 @@
 
     async def _ask(
         self, body: messages.PeerBody, silence: float, longest: float
-    ) -> 'Asked':
+    ) -> 'AskResult':
         asked_at = anyio.current_time()
         if not self.connected:
             with anyio.move_on_after(min(silence, CONNECT_WAIT_S)):
@@ -128,11 +132,11 @@
         self._pending[number] = pending
         try:
             if not self.connected:
-                return Asked(sent=False)
+                return AskResult(sent=False)
             if not self._queue(messages.PeerMessage(body, number)):
-                return Asked(sent=False)
+                return AskResult(sent=False)
             await self._wait(pending, silence, asked_at, longest)
-            return Asked(sent=True, answer=pending.answer)
+            return AskResult(sent=True, answer=pending.answer)
         finally:
             self._pending.pop(number, None)
 
@@ -271,7 +275,7 @@
 
 
 @attrs.frozen
-class Asked:
+class AskResult:
     """The result of a request.
 
     ``sent`` is true if the request may have reached the peer; ``answer`` is
@@ -320,20 +324,20 @@
 
     async def ask(
         self, address: Address, body: messages.PeerBody, time_limit: float
-    ) -> 'Asked':
+    ) -> 'AskResult':
         """Send a request to an address, as :meth:`Link.ask` does."""
         link = self._link(address)
         if link is None:
-            return Asked(sent=False)
+            return AskResult(sent=False)
         return await link.ask(body, time_limit)
 
     async def fetch(
         self, address: Address, body: messages.PeerBody, silence: float
-    ) -> 'Asked':
+    ) -> 'AskResult':
         """Send a request to an address, as :meth:`Link.fetch` does."""
         link = self._link(address)
         if link is None:
-            return Asked(sent=False)
+            return AskResult(sent=False)
         return await link.fetch(body, silence)
 
     def drop(self, address: Address) -> None:
--- a/src/tidegrade/ports/__init__.py
+++ b/src/tidegrade/ports/__init__.py
@@ -18,9 +18,9 @@
 from tidegrade.ports._platform import Vm
 from tidegrade.ports._platform import VmList
 from tidegrade.ports._platform import WriteProblem
+from tidegrade.ports._sessions import CallerListener
 from tidegrade.ports._sessions import ConfigSeen
 from tidegrade.ports._sessions import Directory
-from tidegrade.ports._sessions import Door
 from tidegrade.ports._sessions import EndpointEntry
 from tidegrade.ports._sessions import EndpointList
 from tidegrade.ports._sessions import SessionService
@@ -32,12 +32,12 @@
     'ApplyProblem',
     'Call',
     'CallReply',
+    'CallerListener',
     'Callers',
     'Clock',
     'ConfigSeen',
     'ConnectProblem',
     'Directory',
-    'Door',
     'EndpointConn',
     'EndpointEntry',
     'EndpointList',
--- a/src/tidegrade/ports/_sessions.py
+++ b/src/tidegrade/ports/_sessions.py
@@ -93,7 +93,7 @@
 
 
 class SessionService(typing.Protocol):
-    """Opens the sessions of callers that a :class:`Door` accepted."""
+    """Opens sessions for callers that a :class:`CallerListener` accepts."""
 
     def open(
         self, database: str, caller: tenants.Caller
@@ -101,7 +101,7 @@
         """Open a session on a database, or return why it is refused."""
 
 
-class Door(typing.Protocol):
+class CallerListener(typing.Protocol):
     """Accepts connections of callers and implements their protocol."""
 
     async def serve(
@@ -115,13 +115,13 @@
     def stop_accepting(self) -> None:
         """Accept no new connections; existing ones continue."""
 
-    def close_refused(self, wanted: bool) -> None:
+    def close_on_refusal(self, wanted: bool) -> None:
         """Set whether a session is closed after a refusal."""
 
-    def close_answered(self, wanted: bool) -> None:
+    def close_after_answers(self, wanted: bool) -> None:
         """Set whether a session closes with an answer that leaves it idle."""
 
-    def close_resting(self) -> int:
+    def close_idle(self) -> int:
         """Close sessions that are idle for long.
 
         Returns how many are still open.
--- a/src/tidegrade/session_proxy/_ending.py
+++ b/src/tidegrade/session_proxy/_ending.py
@@ -39,7 +39,7 @@
         limit = cfg.grace_s * GRACE_USED
         await anyio.sleep(min(cfg.unready_s, limit / 2))
         self.closing = True
-        self._door.close_answered(True)
+        self._door.close_after_answers(True)
         left = limit - (self._clock.now() - started)
         with anyio.move_on_after(left - LAST_CALLERS):
             await self._close_sessions()
@@ -48,13 +48,13 @@
         logs.write(
             logs.LogEvent.DOOR_CLOSED,
             after_ms=round((self._clock.now() - started) * 1000),
-            in_flight=self._door.close_resting(),
+            in_flight=self._door.close_idle(),
         )
         await anyio.sleep(CLOSING_LOOK)
         with anyio.move_on_after(LAST_CALLERS) as last:
             await self._close_sessions()
         if last.cancelled_caught:
-            still_open = self._door.close_resting()
+            still_open = self._door.close_idle()
             logs.write(logs.LogEvent.DRAIN_CUT, in_flight=still_open)
 
     async def _close_sessions(self) -> None:
@@ -62,5 +62,5 @@
 
         What other proxies have handed over is ended as well.
         """
-        while self._door.close_resting() or self._serves_others():
+        while self._door.close_idle() or self._serves_others():
             await anyio.sleep(CLOSING_LOOK)
--- a/src/tidegrade/session_proxy/_members.py
+++ b/src/tidegrade/session_proxy/_members.py
@@ -53,7 +53,7 @@
             await self._look()
 
     async def _look(self) -> None:
-        listed = await self._table.scan(_rows.HOLDERS)
+        listed = await self._table.scan(_rows.PROXIES_PREFIX)
         if listed.is_err():
             logs.write(logs.LogEvent.PLATFORM_LOST, reason=listed.unwrap_err())
             return
--- a/src/tidegrade/session_proxy/_proxy.py
+++ b/src/tidegrade/session_proxy/_proxy.py
@@ -285,13 +285,15 @@
                 self._peers.heard_outside(), permitted, now
             ):
                 self._isolation_changed(permitted)
-            self._outside.door.close_refused(
+            self._outside.door.close_on_refusal(
                 self._isolation.refused_should_go(now)
             )
             all_go = self._isolation.all_should_go(now)
-            self._outside.door.close_answered(all_go or self._ending.closing)
+            self._outside.door.close_after_answers(
+                all_go or self._ending.closing
+            )
             if all_go:
-                self._outside.door.close_resting()
+                self._outside.door.close_idle()
             await anyio.sleep(ISOLATION_LOOK)
 
     def _is_permitted(self, now: float) -> bool:
--- a/src/tidegrade/session_proxy/_settings.py
+++ b/src/tidegrade/session_proxy/_settings.py
@@ -58,7 +58,7 @@
     endpoints: ports.Endpoints
     table: ports.Table
     directory: ports.Directory
-    door: ports.Door
+    door: ports.CallerListener
     pages: ports.StatusPages
     clock: ports.Clock
     traits: core.Traits
--- a/tests/adapters/test_peer_messages.py
+++ b/tests/adapters/test_peer_messages.py
@@ -22,7 +22,7 @@
 
 
 @given(evidence)
-def test_evidence_is_never_made_younger(seen):
+def test_evidence_never_looks_newer_than_it_is(seen):
     answer = messages.EvidenceAnswer((messages.GroupEvidence(KEY, seen),))
     raw = codec.encode(messages.PeerMessage(answer, 7))
     back = codec.decode(raw)
--- a/tests/daemon/test_peers_task.py
+++ b/tests/daemon/test_peers_task.py
@@ -35,9 +35,9 @@
     def post(self, address: _links.Address, body: messages.PeerBody) -> bool:
         return True
 
-    async def fetch(self, address, body, silence) -> _links.Asked:
+    async def fetch(self, address, body, silence) -> _links.AskResult:
         ref = core.ConfigRef(2, address.host)
-        return _links.Asked(True, messages.ConfigContent(ref, b''))
+        return _links.AskResult(True, messages.ConfigContent(ref, b''))
 
 
 @pytest.fixture
--- a/tests/daemon/test_quota_keepers.py
+++ b/tests/daemon/test_quota_keepers.py
@@ -56,9 +56,9 @@
     async def ask_within(self, proxy, body, limit):
         self.asked.append(proxy)
         if self.silent:
-            return _links.Asked(sent=True)
+            return _links.AskResult(sent=True)
         granted = messages.QuotaGrant(core.Grant(True, 0.0))
-        return _links.Asked(sent=True, answer=granted)
+        return _links.AskResult(sent=True, answer=granted)
 
     def hear(self, domains: str = 'abc') -> None:
         for n in range(2, 8):
--- a/tests/peers/test_links.py
+++ b/tests/peers/test_links.py
@@ -27,7 +27,7 @@
     return edge.free_ports(1)[0]
 
 
-async def test_a_link_that_goes_silent_is_made_anew(free_port):
+async def test_a_silent_link_reconnects(free_port):
     received = 0
 
     async def count_message(body: messages.PeerBody) -> None:
--- a/tests/platform/test_callers.py
+++ b/tests/platform/test_callers.py
@@ -114,7 +114,7 @@
 
 async def test_a_session_that_was_just_opened_is_left_for_its_request(bench):
     caller = await bench.caller()
-    assert bench.door.close_resting() == 1
+    assert bench.door.close_idle() == 1
     assert await is_open(caller)
     assert (await caller.ask('READ x')).code == ''
 
@@ -122,7 +122,7 @@
 async def test_a_session_that_was_just_answered_is_left_for_the_next(bench):
     caller = await bench.caller()
     await caller.ask('READ x')
-    bench.door.close_resting()
+    bench.door.close_idle()
     assert await is_open(caller)
 
 
@@ -130,7 +130,7 @@
     callers = [await bench.caller(), await bench.caller()]
     await callers[1].ask('READ x')
     await anyio.sleep(_callers.LEAST_REST + 0.05)
-    bench.door.close_resting()
+    bench.door.close_idle()
     for caller in callers:
         assert await ended(caller)
 
@@ -138,14 +138,14 @@
 async def test_once_closing_a_session_ends_with_its_answer(bench):
     """The caller learns of the end before it asks again."""
     caller = await bench.caller()
-    bench.door.close_answered(True)
+    bench.door.close_after_answers(True)
     assert (await caller.ask('READ x')).code == ''
     assert await ended(caller)
 
 
 async def test_once_closing_a_transaction_goes_on_to_its_end(bench):
     caller = await bench.caller()
-    bench.door.close_answered(True)
+    bench.door.close_after_answers(True)
     assert (await caller.ask('BEGIN')).state == 'T'
     assert (await caller.ask('READ x')).state == 'T'
     assert (await caller.ask('COMMIT')).state == 'I'
@@ -154,7 +154,7 @@
 
 async def test_once_closing_a_session_is_prepared_and_then_used(bench):
     caller = await bench.caller()
-    bench.door.close_answered(True)
+    bench.door.close_after_answers(True)
     await caller.ask('SET zone a')
     await caller.ask('PREPARE s READ x')
     assert (await caller.ask('EXEC s i1')).code == ''
@@ -163,8 +163,8 @@
 
 async def test_closing_may_end_again(bench):
     caller = await bench.caller()
-    bench.door.close_answered(True)
-    bench.door.close_answered(False)
+    bench.door.close_after_answers(True)
+    bench.door.close_after_answers(False)
     await caller.ask('READ x')
     assert await is_open(caller)
 
@@ -174,7 +174,7 @@
     caller = await bench.caller()
     await anyio.sleep(_callers.LEAST_REST + 0.05)
     bench.service.group.let = anyio.Event()
-    bench.door.close_resting()
+    bench.door.close_idle()
     await caller.send('QUERY u1 READ x')
     await anyio.sleep(0.02)
     bench.service.group.let.set()
