--- a/src/tidegrade/session_proxy/_proxy.py
+++ b/src/tidegrade/session_proxy/_proxy.py
@@ -290,13 +290,15 @@
                 self._peers.last_heartbeat_outside(), permitted, now
             ):
                 self._on_isolation_changed(permitted)
-            self._adapters.door.close_refused(
+            self._adapters.door.close_on_refusal(
                 self._isolation.should_close_refused(now)
             )
             all_go = self._isolation.should_close_idle(now)
-            self._adapters.door.close_answered(all_go or self._drain.closing)
+            self._adapters.door.close_after_answers(
+                all_go or self._drain.closing
+            )
             if all_go:
-                self._adapters.door.close_resting()
+                self._adapters.door.close_idle()
             await anyio.sleep(ISOLATION_CHECK_INTERVAL_S)
 
     def _is_permitted(self, now: float) -> bool:
