--- a/tests/platform/test_callers.py
+++ b/tests/platform/test_callers.py
@@ -1,7 +1,8 @@
-"""When callers' sessions are closed, and what of theirs is still answered.
+"""Closing of idle callers' sessions, and answers to requests meanwhile.
 
-The story of the fault stands at
-`test_whoever_asks_soon_after_opening_as_a_proxy_ends` in `tests/edge`.
+A session that was closed between its opening and its first request failed
+that request; see `test_whoever_asks_soon_after_opening_as_a_proxy_ends` in
+`tests/edge`.
 """
 
 import anyio
@@ -18,9 +19,9 @@
 pytestmark = pytest.mark.anyio
 
 ROUTE = sessions.DatabaseRoute('db', 'g', 2.5, True, 2.0, 0.5, 1)
-#: Time that the end of a connection may take, in seconds; it only bounds a
+#: Time within which a connection must close, in seconds; it only bounds a
 #: failing test.
-PATIENCE = 5.0
+CLOSE_TIMEOUT_S = 5.0
 DONE = core.Answer(core.Outcome.DONE)
 
 
@@ -30,14 +31,14 @@
 
 
 class Group:
-    """Answers each request once it is let."""
+    """Answers each request once ``may_answer`` is set."""
 
     def __init__(self) -> None:
-        self.let = anyio.Event()
-        self.let.set()
+        self.may_answer = anyio.Event()
+        self.may_answer.set()
 
     async def request(self, req: core.Request) -> core.Answer:
-        await self.let.wait()
+        await self.may_answer.wait()
         return DONE
 
     def post(self, event: core.Event) -> None:
@@ -48,7 +49,7 @@
 
 
 class Service:
-    """Opens sessions before one group."""
+    """Opens sessions on one group."""
 
     def __init__(self) -> None:
         self.group = Group()
@@ -65,18 +66,18 @@
         return result.Ok(sessions.Session(database, caller, self._deps))
 
 
-class Bench:
-    """A door on a port of its own."""
+class Harness:
+    """A caller listener on a free port."""
 
     def __init__(self, tasks) -> None:
         self.service = Service()
         (self.port,) = edge.free_ports(1)
         address = _settings.Address('127.0.0.1', self.port)
-        self.door = _callers.CallerDoor(address)
+        self.listener = _callers.CallerListener(address)
         self._tasks = tasks
 
     async def start(self) -> None:
-        await self._tasks.start(self.door.serve, self.service)
+        await self._tasks.start(self.listener.serve, self.service)
 
     async def caller(self) -> edge.Client:
         made = await edge.Client.connect(self.port, 'db')
@@ -85,16 +86,16 @@
 
 
 @pytest.fixture
-async def bench():
+async def harness():
     async with anyio.create_task_group() as tasks:
-        made = Bench(tasks)
+        made = Harness(tasks)
         await made.start()
         yield made
         tasks.cancel_scope.cancel()
 
 
 async def is_open(caller: edge.Client) -> bool:
-    """Tell whether a session is still open a moment later."""
+    """Return whether a session is still open after 50 ms."""
     with anyio.move_on_after(0.05):
         try:
             await caller.receive()
@@ -104,78 +105,78 @@
 
 
 async def ended(caller: edge.Client) -> bool:
-    """Wait for the end of a session."""
-    with anyio.move_on_after(PATIENCE):
+    """Return whether a session is closed within the time limit."""
+    with anyio.move_on_after(CLOSE_TIMEOUT_S):
         with pytest.raises(anyio.EndOfStream):
             await caller.receive()
         return True
     return False
 
 
-async def test_a_session_that_was_just_opened_is_left_for_its_request(bench):
-    caller = await bench.caller()
-    assert bench.door.close_resting() == 1
+async def test_a_session_that_was_just_opened_is_left_for_its_request(harness):
+    caller = await harness.caller()
+    assert harness.listener.close_resting() == 1
     assert await is_open(caller)
     assert (await caller.ask('READ x')).code == ''
 
 
-async def test_a_session_that_was_just_answered_is_left_for_the_next(bench):
-    caller = await bench.caller()
+async def test_a_session_that_was_just_answered_is_left_for_the_next(harness):
+    caller = await harness.caller()
     await caller.ask('READ x')
-    bench.door.close_resting()
+    harness.listener.close_resting()
     assert await is_open(caller)
 
 
-async def test_a_session_that_has_rested_for_long_is_closed(bench):
-    callers = [await bench.caller(), await bench.caller()]
+async def test_a_session_that_has_rested_for_long_is_closed(harness):
+    callers = [await harness.caller(), await harness.caller()]
     await callers[1].ask('READ x')
-    await anyio.sleep(_callers.LEAST_REST + 0.05)
-    bench.door.close_resting()
+    await anyio.sleep(_callers.MIN_IDLE_S + 0.05)
+    harness.listener.close_resting()
     for caller in callers:
         assert await ended(caller)
 
 
-async def test_once_closing_a_session_ends_with_its_answer(bench):
-    """The caller learns of the end before it asks again."""
-    caller = await bench.caller()
-    bench.door.close_answered(True)
+async def test_once_closing_a_session_ends_with_its_answer(harness):
+    """The caller sees the connection closed before its next request."""
+    caller = await harness.caller()
+    harness.listener.close_answered(True)
     assert (await caller.ask('READ x')).code == ''
     assert await ended(caller)
 
 
-async def test_once_closing_a_transaction_goes_on_to_its_end(bench):
-    caller = await bench.caller()
-    bench.door.close_answered(True)
+async def test_once_closing_a_transaction_goes_on_to_its_end(harness):
+    caller = await harness.caller()
+    harness.listener.close_answered(True)
     assert (await caller.ask('BEGIN')).state == 'T'
     assert (await caller.ask('READ x')).state == 'T'
     assert (await caller.ask('COMMIT')).state == 'I'
     assert await ended(caller)
 
 
-async def test_once_closing_a_session_is_prepared_and_then_used(bench):
-    caller = await bench.caller()
-    bench.door.close_answered(True)
+async def test_once_closing_a_session_is_prepared_and_then_used(harness):
+    caller = await harness.caller()
+    harness.listener.close_answered(True)
     await caller.ask('SET zone a')
     await caller.ask('PREPARE s READ x')
     assert (await caller.ask('EXEC s i1')).code == ''
     assert await ended(caller)
 
 
-async def test_closing_may_end_again(bench):
-    caller = await bench.caller()
-    bench.door.close_answered(True)
-    bench.door.close_answered(False)
+async def test_closing_may_end_again(harness):
+    caller = await harness.caller()
+    harness.listener.close_answered(True)
+    harness.listener.close_answered(False)
     await caller.ask('READ x')
     assert await is_open(caller)
 
 
-async def test_a_request_that_meets_the_closing_is_answered(bench):
-    """It had come when the session was chosen, and was not read yet."""
-    caller = await bench.caller()
-    await anyio.sleep(_callers.LEAST_REST + 0.05)
-    bench.service.group.let = anyio.Event()
-    bench.door.close_resting()
+async def test_a_request_that_meets_the_closing_is_answered(harness):
+    """The request had arrived but was unread when the session was chosen."""
+    caller = await harness.caller()
+    await anyio.sleep(_callers.MIN_IDLE_S + 0.05)
+    harness.service.group.may_answer = anyio.Event()
+    harness.listener.close_resting()
     await caller.send('QUERY u1 READ x')
     await anyio.sleep(0.02)
-    bench.service.group.let.set()
+    harness.service.group.may_answer.set()
     assert await caller.receive() == 'DONE -'
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -1,4 +1,4 @@
-"""What the platform sends, decoded once into the product's types."""
+"""Decoding of the platform's data into the product's types."""
 
 import json
 
--- a/tests/platform/test_duties.py
+++ b/tests/platform/test_duties.py
@@ -1,4 +1,4 @@
-"""Calls that only the holder of a duty makes, and when they are too late."""
+"""Promotion calls, and the time until which they may be sent."""
 
 import contextlib
 
@@ -20,7 +20,7 @@
 
 
 class FakeClock:
-    """A clock that is set by hand."""
+    """A clock that the test sets."""
 
     def __init__(self) -> None:
         self.time = 100.0
@@ -36,7 +36,7 @@
 
 @pytest.fixture
 async def platform():
-    """Give the address of a platform, and what it was sent."""
+    """Yield the address of a fake platform and the requests it received."""
     sent: list[bytes] = []
 
     async def serve(stream: anyio.abc.SocketStream) -> None:
@@ -71,10 +71,10 @@
     assert sent == []
 
 
-async def test_nor_if_its_connection_opened_too_late(
+async def test_a_promotion_is_not_sent_if_its_connection_opened_too_late(
     platform, clock, monkeypatch
 ):
-    """The number of another supervisor had overtaken it meanwhile."""
+    """Another supervisor may have sent a larger number in the meantime."""
     address, sent = platform
     connect = anyio.connect_tcp
 
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -1,8 +1,8 @@
-"""Entries of instances that another writer left.
+"""Invalid entries in the instance list, written by another client.
 
-Of 25 lists with one sound entry and one that was not, 16 ended the process
-of every proxy that read them, at each start anew, and 9 named the bad entry
-as an instance to use: one row was an outage of all.
+One invalid row must not affect the other entries. Without checks, of 25 lists
+with one valid and one invalid entry, 16 ended the process of every proxy that
+read them, also after each restart, and 9 made the invalid entry an endpoint.
 """
 
 import json
@@ -30,10 +30,10 @@
     'db_role': 'replica',
     'seq_no': 4,
 }
-#: A life's start, in milliseconds of Unix time.
+#: Start time of an instance, as Unix time in milliseconds.
 BORN = 1_790_000_000_000
 
-#: What makes a sound entry bad, field by field.
+#: Changes that make a valid entry invalid, field by field.
 CHANGES = [
     {'service': None},
     {'service': 7},
@@ -67,7 +67,7 @@
     {'born': None},
     {'born': True},
 ]
-#: Whole values that are no entry at all.
+#: Row values that are not entries.
 VALUES = [
     b'',
     b'\xff\xfe\x00',
@@ -94,7 +94,7 @@
 
 
 class Store:
-    """Gives the rows that it was given."""
+    """Returns the rows that the test sets."""
 
     def __init__(self) -> None:
         self.rows: dict[str, bytes] = {}
@@ -116,7 +116,7 @@
 
 @pytest.fixture
 def logged(monkeypatch) -> list[tuple[logs.LogEvent, dict]]:
-    """Collect what is logged."""
+    """Collect the log events and their fields."""
     lines: list[tuple[logs.LogEvent, dict]] = []
     for name in ('write', 'write_bounded'):
         monkeypatch.setattr(
@@ -126,14 +126,14 @@
 
 
 async def listed(directory, store, rows) -> list[str]:
-    """Give the ids that a list of these rows names."""
+    """Return the endpoint ids that a list of these rows yields."""
     store.rows = rows
     found = (await directory.endpoints()).unwrap()
     return [entry.id for entry in found.entries]
 
 
 @pytest.mark.parametrize('bad', BAD, ids=lambda raw: raw[:40].decode('latin1'))
-async def test_a_bad_entry_names_nobody_and_the_others_hold(
+async def test_an_invalid_entry_is_ignored_and_the_others_are_used(
     directory, store, bad
 ):
     rows = {'i-0': bad, 'i-1': json.dumps(SOUND).encode(), 'i-2': bad}
@@ -145,22 +145,22 @@
     [{}, {'born': BORN}, {'state': 'draining'}, {'of_next_year': [1]}],
     ids=str,
 )
-async def test_a_sound_entry_is_taken(directory, store, change):
+async def test_a_valid_entry_is_used(directory, store, change):
     rows = {'i-1': json.dumps({**SOUND, **change}).encode()}
     assert await listed(directory, store, rows) == ['i-1']
 
 
-async def test_an_entry_that_becomes_unreadable_names_nobody(directory, store):
+async def test_an_entry_that_becomes_unreadable_is_ignored(directory, store):
     rows = {'i-1': json.dumps(SOUND).encode()}
     assert await listed(directory, store, rows) == ['i-1']
     assert await listed(directory, store, {'i-1': b'\xff'}) == []
     assert await listed(directory, store, rows) == ['i-1']
 
 
-async def test_a_bad_entry_is_logged_as_it_comes_and_goes(
+async def test_an_invalid_entry_is_logged_when_it_appears_and_disappears(
     directory, store, logged
 ):
-    """Not at each reading: a hundred rows are read every two seconds."""
+    """It is not logged at each read: 100 rows are read every 2 s."""
     bad = {f'i-{number}': b'{' for number in range(100)}
     for _ in range(50):
         await listed(directory, store, bad)
--- a/tests/platform/test_feed.py
+++ b/tests/platform/test_feed.py
@@ -1,4 +1,4 @@
-"""How soon a feed that has gone silent is given up."""
+"""Detection of silent feeds, and recovery from failed ones."""
 
 import anyio
 import orjson
@@ -7,23 +7,23 @@
 from tidegrade_platform import _directory
 from tidegrade_platform import _store
 
-#: In which an accepted configuration must be in force, in seconds: the
-#: least of the platform's, and those of deployments with more proxies.
-BOUNDS = (3.0, 5.0, 6.0)
-#: From the first proxy that has it to the last, and the read itself, in
-#: seconds; 0.7 s was the longest on a day with a silent feed.
-SPREAD = 0.8
+#: Times within which an accepted configuration must be in force, in seconds:
+#: the platform's shortest, and those of deployments with more proxies.
+APPLY_LIMITS_S = (3.0, 5.0, 6.0)
+#: Time for reading a configuration and distributing it to all proxies, in
+#: seconds; the longest with a silent feed was 0.7 s.
+DISTRIBUTION_S = 0.8
 
 
-@pytest.mark.parametrize('within', BOUNDS)
-def test_a_silent_feed_leaves_time_for_the_configuration(within):
-    """Found by a hunt, CONFIG: the feeds of all three watchers were silent.
+@pytest.mark.parametrize('limit_s', APPLY_LIMITS_S)
+def test_a_silent_feed_leaves_time_for_the_configuration(limit_s):
+    """Silent feeds of all three watchers must be detected in time.
 
-    They were given up 6 s after they had begun; the change was in force
-    4 s after its acceptance.
+    When they were abandoned only 6 s after their start, a change was in force
+    4 s after its acceptance, which is over the limit (failure CONFIG).
     """
-    noticed = _directory.feed_wait(within) + _store.FEED_MARGIN
-    assert noticed + _directory.RETRY_PAUSE + SPREAD < within
+    detected_s = _directory.feed_wait_s(limit_s) + _store.FEED_MARGIN_S
+    assert detected_s + _directory.RETRY_DELAY_S + DISTRIBUTION_S < limit_s
 
 
 @pytest.fixture
@@ -31,8 +31,8 @@
     return 'asyncio'
 
 
-class CutStore:
-    """A store whose feeds are cut, and whose row can be read."""
+class ResettingStore:
+    """A store whose feeds are reset, while its row can be read."""
 
     def __init__(self) -> None:
         self.version = 1
@@ -55,12 +55,12 @@
 
 
 @pytest.mark.anyio
-async def test_a_feed_that_is_cut_is_followed_by_a_read():
-    """Who watches goes on watching, and misses nothing by the cut."""
-    directory = _directory.Directory(CutStore(), 3.0)
+async def test_a_feed_that_is_reset_is_followed_by_a_read():
+    """The watcher continues to watch and misses no change."""
+    directory = _directory.Directory(ResettingStore(), 3.0)
     directory.watch(True)
     first = await directory.next_catalogue()
-    with anyio.fail_after(_directory.RETRY_PAUSE):
+    with anyio.fail_after(_directory.RETRY_DELAY_S):
         second = await directory.next_catalogue()
     assert (first.version, second.version) == (1, 2)
     assert directory.answers
--- a/tests/platform/test_generations.py
+++ b/tests/platform/test_generations.py
@@ -1,6 +1,7 @@
-"""Versions of the store hold within one of its generations only.
+"""Versions of the store are valid within one of its generations only.
 
-The story stands at the top of `tests/edge/test_edge_returns.py`.
+`tests/edge/test_edge_returns.py` describes the fault that these tests guard
+against.
 """
 
 import json
@@ -24,7 +25,7 @@
 
 
 class Platform:
-    """Answers each call alike, in the era that it is told."""
+    """Answers each call with the same row and the set generation."""
 
     def __init__(self) -> None:
         self.era: str | None = '1'
@@ -39,7 +40,7 @@
         if self.era is not None:
             headers += ((b'store-era', self.era.encode()),)
         return result.Ok(
-            _http.HttpAnswer(self.status, json.dumps(page).encode(), headers)
+            _http.HttpResponse(self.status, json.dumps(page).encode(), headers)
         )
 
 
@@ -94,7 +95,7 @@
 
 
 async def test_a_condition_of_a_former_generation_is_not_sent(store, platform):
-    """The version may have been given out again, to another row."""
+    """The version may have been assigned again, to another row."""
     tag = (await store.read('k')).unwrap().tag
     platform.era = '2'
     await store.read('k')
@@ -109,7 +110,7 @@
 async def test_a_feed_of_a_former_generation_is_read_anew(store, platform):
     after = (await store.snapshot('t')).unwrap().version
     platform.era = '2'
-    # The answer itself tells: what came before it in this era is missing.
+    # The answer reports the new generation, whose earlier changes it lacks.
     assert (await store.feed('t', after, 1.0)).unwrap() is None
     calls = len(platform.targets)
     assert (await store.feed('t', after, 1.0)).unwrap() is None
@@ -124,7 +125,7 @@
         platform.era = '2'
         page = {**json.loads(answer.body), 'truncated': True}
         body = json.dumps(page).encode()
-        return result.Ok(_http.HttpAnswer(200, body, answer.headers))
+        return result.Ok(_http.HttpResponse(200, body, answer.headers))
 
     monkeypatch.setattr(store._client, 'ask', ask)
     assert (await store.snapshot('t')).is_err()
--- a/tests/platform/test_http.py
+++ b/tests/platform/test_http.py
@@ -1,4 +1,4 @@
-"""Calls to the platform over links that are slow."""
+"""Calls to the platform over slow links."""
 
 import anyio
 import pytest
@@ -10,8 +10,8 @@
 pytestmark = pytest.mark.anyio
 
 HOST = '127.0.0.1'
-#: Time in which a response must begin, in seconds.
-LIMIT = 0.5
+#: Time within which a response must begin, in seconds.
+TIMEOUT_S = 0.5
 BODY = bytes(300_000)
 
 
@@ -21,12 +21,12 @@
 
 
 @pytest.fixture
-def answered():
-    """Give a function that asks for a page over a link of some rate."""
+def fetch():
+    """Return a function that fetches a page over a link of a given rate."""
 
     async def ask(rate: float):
         port = edge.free_ports(1)[0]
-        page = _http.HttpAnswer(200, BODY)
+        page = _http.HttpResponse(200, BODY)
         relay = edge.Relay(port, rate)
         async with anyio.create_task_group() as tasks:
             here = _settings.Address(HOST, port)
@@ -34,38 +34,37 @@
             await tasks.start(relay.serve)
             there = _settings.Address(HOST, relay.port)
             client = _http.HttpClient(there)
-            answer = await client.ask('GET', '/page', LIMIT)
+            answer = await client.ask('GET', '/page', TIMEOUT_S)
             tasks.cancel_scope.cancel()
         return answer
 
     return ask
 
 
-async def test_a_response_is_waited_for_while_it_comes(answered):
-    """It takes 1.5 s, three times the limit; no read of it ever ended."""
-    answer = await answered(200_000)
+async def test_a_response_is_waited_for_while_it_comes(fetch):
+    """It takes 1.5 s, three times the limit.
+
+    With the limit on the whole response, no such read ever completed.
+    """
+    answer = await fetch(200_000)
     assert answer.unwrap().body == BODY
 
 
-async def test_a_response_that_stalls_is_given_up(answered):
-    """Its pieces come a second apart."""
-    answer = await answered(8_000)
+async def test_a_response_that_stalls_is_given_up(fetch):
+    """Its parts arrive at intervals of one second."""
+    answer = await fetch(8_000)
     assert answer.is_err()
 
 
 async def test_bytes_that_come_just_as_the_time_is_up_leave_an_answer(
     monkeypatch,
 ):
-    """A proxy ended by itself: `None` came back in place of a result.
-
-    What happens: the time limit of a call passes, and in the same moment
-    bytes of its response come, which move the limit. Why: whether the call
-    was given up was judged by the limit as it stood afterwards, so that it
-    counted as neither given up nor answered.
+    """The call must return an error and not None, which ended the process.
 
-    What showed it: soak seed 5004 with a returning store beside load, a
-    traceback at the store's client: "'NoneType' object has no attribute
-    'and_then'". The client is older than that seed.
+    Bytes that arrive as the timeout expires move the deadline. The call was
+    cancelled, but compared the time with the moved deadline and so did not
+    count as timed out: "'NoneType' object has no attribute 'and_then'" in the
+    store's client (soak seed 5004, store restored under load).
     """
     client = _http.HttpClient(_settings.Address(HOST, 1))
 
--- a/tests/platform/test_instances.py
+++ b/tests/platform/test_instances.py
@@ -1,4 +1,4 @@
-"""What instances say of themselves, decoded into reports."""
+"""Decoding of instances' status into reports, and aborted promotions."""
 
 import anyio
 import anyio.abc
@@ -23,7 +23,7 @@
 
 @pytest.fixture
 async def answered():
-    """Give a function that asks STATUS of an instance with set answers."""
+    """Return a function that sends STATUS to a fake with given answers."""
 
     async def outcome_of(row: str, ready: str) -> core.JobOutcome:
         async def serve(stream: anyio.abc.SocketStream) -> None:
@@ -60,7 +60,7 @@
 
 @pytest.fixture
 async def asked(answered):
-    """Give a function that gives what the instance reports."""
+    """Return a function that returns the decoded endpoint report."""
 
     async def report(row: str, ready: str) -> core.EndpointReport:
         return (await answered(row, ready)).report
@@ -69,11 +69,11 @@
 
 
 async def test_a_position_of_a_former_term_is_none_of_the_new_one(asked):
-    """Found on days with a change of primary.
+    """After a change of primary, reads must not be refused.
 
-    The new primary showed the last position of the term before it, which
-    counted as one of its own: no endpoint had it, and reads were refused
-    until the report was too old to be used.
+    The new primary reports the last position of the previous term. When that
+    counted as a position of the new term, no endpoint had reached it, and
+    reads were refused until the report was too old to be used.
     """
     found = await asked('primary 2 1.227 0 0 1 4', '1.227')
     assert (found.marker, found.lsn, found.received_lsn) == (2, 0, 0)
@@ -98,14 +98,14 @@
 async def test_a_report_that_cannot_be_read_ends_its_connection(
     answered, row, ready
 ):
-    """And nothing else: without a row at all it ended the process."""
+    """Only the connection ends: an answer without a row ended the process."""
     outcome = await answered(row, ready)
     assert isinstance(outcome, core.JobFailed)
     assert outcome.failure is core.Failure.LOST
 
 
 class FakeExchange:
-    """An instance that has promised term 7 and answers nothing else."""
+    """An instance that answers every statement: it has promised term 7."""
 
     position = core.Position(1, 5)
 
@@ -113,12 +113,12 @@
         ready = _lines.Ready('I', self.position)
         return _exchange.Answer(('replica 1 1.5 7 0 0 1',), '-', '', '', ready)
 
-    def cut(self) -> None:
+    def shut_down(self) -> None:
         pass
 
 
-class SlowDuties:
-    """A platform that never answers an order."""
+class UnansweredDuties:
+    """A platform that never answers a promotion order."""
 
     def __init__(self) -> None:
         self.called = anyio.Event()
@@ -132,15 +132,15 @@
             self.ended = True
 
 
-async def test_an_order_that_is_taken_back_ends_its_call():
-    """Left alone, it arrived after the order of the next supervisor."""
-    duties = SlowDuties()
+async def test_an_aborted_order_cancels_its_call():
+    """Otherwise the order could arrive after that of the next supervisor."""
+    duties = UnansweredDuties()
 
     async def instance() -> str:
         return 'i-1'
 
-    orders = _instances._Orders(duties, 'svc', instance)
-    conn = _instances.InstanceConn(FakeExchange(), orders)
+    promotion_target = _instances._PromotionTarget(duties, 'svc', instance)
+    conn = _instances.InstanceConn(FakeExchange(), promotion_target)
     with anyio.fail_after(2):
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(conn.run, core.PromoteJob(7, 1))
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -1,4 +1,4 @@
-"""The start of the program, before its libraries are there."""
+"""The start of the program, before its libraries are imported."""
 
 import json
 import pathlib
@@ -6,7 +6,7 @@
 import sys
 
 START = pathlib.Path(__file__).parents[2] / 'deploy' / 'tidegrade.py'
-#: Runs the program up to its first import of the product.
+#: Script that runs the program up to its first import of the product.
 UP_TO_THE_IMPORTS = """
 import runpy, signal, sys
 
@@ -22,12 +22,13 @@
 
 
 def test_a_reload_does_not_end_a_process_that_is_starting():
-    """Found by the soak, seed 2: SIGHUP came during the imports."""
+    """SIGHUP during the imports must not end the process (soak seed 2)."""
     command = [sys.executable, '-c', UP_TO_THE_IMPORTS, str(START)]
     assert subprocess.run(command, timeout=60).returncode == 0
 
 
-#: Prints what the program loads while SIGHUP still ends the process.
+#: Script that prints the modules that the program imports before it ignores
+#: SIGHUP.
 LOADED_BEFORE = """
 import _signal, json, sys
 
@@ -56,15 +57,13 @@
 
 
 def test_nothing_is_loaded_before_a_reload_is_ignored():
-    """A process that had just started was ended by a request to reload.
+    """SIGHUP, which requests a reload, ends a process that does not ignore it.
 
-    What happens: SIGHUP ends a process that is not yet able to ignore it.
-    Why: two modules were loaded before the program's first act, which is to
-    ignore it; they took longer than the interpreter's own start.
-
-    What showed it: of 136 processes of 200 that a SIGHUP in their first
-    100 ms ended beside 16 busy ones, half got it later than 35 ms, where
-    the interpreter had reached the first line after 17 ms.
+    Two modules were imported before the program ignored the signal, which
+    took longer than the start of the interpreter. Under the load of 16 busy
+    processes, a SIGHUP in the first 100 ms ended 136 of 200 processes. Half of
+    these received it later than 35 ms after their start, although the
+    interpreter had reached the first line after 17 ms.
     """
     command = [sys.executable, '-S', '-c', LOADED_BEFORE, str(START)]
     done = subprocess.run(command, timeout=60, capture_output=True)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Answers of the platform's store that can't be read."""
+"""Decoding of answers of the platform's store, also of malformed ones."""
 
 import json
 
@@ -16,7 +16,7 @@
 
 ROW = {'table': 't', 'part': '', 'key': 'k', 'ver': 3, 'value': 'eyJ9'}
 PAGE = {'rows': [ROW], 'ver': 9, 'now_ms': 1, 'truncated': False}
-#: Bodies that are no answer to any call.
+#: Bodies that are not a valid answer to any call.
 BODIES = [
     b'',
     b'\xff',
@@ -40,11 +40,11 @@
 
 @pytest.fixture
 def store_that_says(monkeypatch):
-    """Give a function that makes a store whose answers are this body."""
+    """Return a function that makes a store which receives a given body."""
 
     def make(body: bytes) -> _store.Store:
         async def ask(*args):
-            return result.Ok(_http.HttpAnswer(200, body))
+            return result.Ok(_http.HttpResponse(200, body))
 
         store = _store.Store(_settings.Address('127.0.0.1', 1))
         monkeypatch.setattr(store._client, 'ask', ask)
@@ -77,4 +77,4 @@
 
 @given(st.binary(max_size=60))
 def test_any_bytes_are_a_page_or_a_reason(body):
-    assert _store._page_of(body).is_err()
+    assert _store._decode_page(body).is_err()
