--- a/tests/platform/test_callers.py
+++ b/tests/platform/test_callers.py
@@ -113,21 +113,21 @@
     return False
 
 
-async def test_a_session_that_was_just_opened_is_left_for_its_request(harness):
+async def test_a_session_that_was_just_opened_stays_open(harness):
     caller = await harness.caller()
     assert harness.listener.close_resting() == 1
     assert await is_open(caller)
     assert (await caller.ask('READ x')).code == ''
 
 
-async def test_a_session_that_was_just_answered_is_left_for_the_next(harness):
+async def test_a_session_that_was_just_answered_stays_open(harness):
     caller = await harness.caller()
     await caller.ask('READ x')
     harness.listener.close_resting()
     assert await is_open(caller)
 
 
-async def test_a_session_that_has_rested_for_long_is_closed(harness):
+async def test_a_session_that_was_idle_for_long_is_closed(harness):
     callers = [await harness.caller(), await harness.caller()]
     await callers[1].ask('READ x')
     await anyio.sleep(_callers.MIN_IDLE_S + 0.05)
@@ -136,7 +136,7 @@
         assert await ended(caller)
 
 
-async def test_once_closing_a_session_ends_with_its_answer(harness):
+async def test_close_answered_closes_a_session_after_its_answer(harness):
     """The caller sees the connection closed before its next request."""
     caller = await harness.caller()
     harness.listener.close_answered(True)
@@ -144,7 +144,7 @@
     assert await ended(caller)
 
 
-async def test_once_closing_a_transaction_goes_on_to_its_end(harness):
+async def test_close_answered_lets_a_transaction_finish(harness):
     caller = await harness.caller()
     harness.listener.close_answered(True)
     assert (await caller.ask('BEGIN')).state == 'T'
@@ -153,7 +153,7 @@
     assert await ended(caller)
 
 
-async def test_once_closing_a_session_is_prepared_and_then_used(harness):
+async def test_close_answered_lets_a_session_run_after_its_setup(harness):
     caller = await harness.caller()
     harness.listener.close_answered(True)
     await caller.ask('SET zone a')
@@ -162,7 +162,7 @@
     assert await ended(caller)
 
 
-async def test_closing_may_end_again(harness):
+async def test_close_answered_can_be_switched_off(harness):
     caller = await harness.caller()
     harness.listener.close_answered(True)
     harness.listener.close_answered(False)
@@ -170,7 +170,9 @@
     assert await is_open(caller)
 
 
-async def test_a_request_that_meets_the_closing_is_answered(harness):
+async def test_a_request_that_arrives_as_the_session_closes_is_answered(
+    harness,
+):
     """The request had arrived but was unread when the session was chosen."""
     caller = await harness.caller()
     await anyio.sleep(_callers.MIN_IDLE_S + 0.05)
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -46,7 +46,7 @@
         {'platform': {}},
     ],
 )
-def test_unusable_settings_say_what_is_wrong(change):
+def test_invalid_settings_return_errors(change):
     raw = json.dumps({**SETTINGS, **change}).encode()
     assert _settings.read(raw).unwrap_err()
 
@@ -76,7 +76,7 @@
     ('kind', 'max_age', 'own_writes'),
     [('primary', 0.0, False), ('bounded', 2.5, False), ('session', 2.5, True)],
 )
-def test_a_route_says_how_old_reads_may_be(kind, max_age, own_writes):
+def test_a_route_sets_the_staleness_of_reads(kind, max_age, own_writes):
     config = {
         'version': 7,
         'routes': [route(consistency=kind)],
@@ -128,7 +128,7 @@
     assert found.keyring.holder_of(tenants.key_hash('x')) is None
 
 
-def test_without_tenants_nobody_needs_a_key():
+def test_without_tenants_no_caller_needs_a_key():
     raw = json.loads(shared())
     del raw['tenants']
     found = _configs.decode_config(json.dumps(raw).encode()).unwrap()
@@ -161,7 +161,7 @@
         [tenant(rate_per_s='67')],
     ],
 )
-def test_an_unreadable_tenant_is_refused_and_not_told(listed):
+def test_an_invalid_tenant_is_refused_without_revealing_its_keys(listed):
     kept = _configs.without_keys(shared(*listed))
     assert b'nirth5mgjy5rcpihhacr' not in kept
     errors = _configs.decode_config(kept).unwrap_err()
@@ -170,11 +170,11 @@
 
 
 @given(st.binary(max_size=60))
-def test_any_row_has_its_keys_taken_out(raw):
+def test_without_keys_accepts_any_bytes(raw):
     _configs.without_keys(raw)
 
 
-def test_positions_come_back_as_they_went():
+def test_positions_survive_a_round_trip():
     position = core.Position(3, 1207)
     text = _lines.position_text(position)
     assert _lines.parse_position(text) == position
@@ -194,7 +194,7 @@
         ('QUERY 1 EXEC s 1a4 x', sessions.Execute('1', 's', '1a4 x')),
     ],
 )
-def test_statements_are_read(line, command):
+def test_statements_are_parsed(line, command):
     assert _callers.parse_command(line) == command
 
 
--- a/tests/platform/test_duties.py
+++ b/tests/platform/test_duties.py
@@ -54,7 +54,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_a_promotion_bears_its_holder_and_its_number(platform, clock):
+async def test_a_promotion_carries_its_holder_and_fence(platform, clock):
     address, sent = platform
     duties = _duties.Duties(address, 'p1', clock)
     assert await duties.promote('svc', 'i-1', 7, clock.now() + 1.0) == ''
--- a/tests/platform/test_feed.py
+++ b/tests/platform/test_feed.py
@@ -15,15 +15,15 @@
 DISTRIBUTION_S = 0.8
 
 
-@pytest.mark.parametrize('limit_s', APPLY_LIMITS_S)
-def test_a_silent_feed_leaves_time_for_the_configuration(limit_s):
+@pytest.mark.parametrize('within', APPLY_LIMITS_S)
+def test_a_silent_feed_leaves_time_for_the_configuration(within):
     """Silent feeds of all three watchers must be detected in time.
 
     When they were abandoned only 6 s after their start, a change was in force
-    4 s after its acceptance, which is over the limit (failure CONFIG).
+    4 s after its acceptance (failure CONFIG).
     """
-    detected_s = _directory.feed_wait_s(limit_s) + _store.FEED_MARGIN_S
-    assert detected_s + _directory.RETRY_DELAY_S + DISTRIBUTION_S < limit_s
+    detected_s = _directory.feed_wait_s(within) + _store.FEED_MARGIN_S
+    assert detected_s + _directory.RETRY_DELAY_S + DISTRIBUTION_S < within
 
 
 @pytest.fixture
--- a/tests/platform/test_generations.py
+++ b/tests/platform/test_generations.py
@@ -63,7 +63,7 @@
     assert store.generation == 1
 
 
-async def test_a_store_that_names_no_era_is_of_one_generation(store, platform):
+async def test_a_store_without_the_header_has_one_generation(store, platform):
     platform.era = None
     found = (await store.read('k')).unwrap()
     assert found == ports.Versioned(b'{"}', '3')
@@ -71,7 +71,7 @@
 
 
 @pytest.mark.parametrize('era', ['', 'x', '-1', '1.5', '1 2', '9' * 30])
-async def test_an_answer_whose_era_cannot_be_read_is_a_failure(
+async def test_an_answer_with_an_invalid_generation_is_a_failure(
     store, platform, era
 ):
     platform.era = era
@@ -79,7 +79,7 @@
     assert store.generation == 0
 
 
-async def test_an_answer_of_a_former_era_is_not_used(store, platform):
+async def test_an_answer_of_an_earlier_generation_is_refused(store, platform):
     platform.era = '5'
     await store.read('k')
     platform.era = '4'
@@ -94,7 +94,9 @@
     assert (await store.snapshot('t')).unwrap().version > before
 
 
-async def test_a_condition_of_a_former_generation_is_not_sent(store, platform):
+async def test_a_condition_of_an_earlier_generation_is_not_sent(
+    store, platform
+):
     """The version may have been assigned again, to another row."""
     tag = (await store.read('k')).unwrap().tag
     platform.era = '2'
@@ -107,7 +109,7 @@
     assert len(platform.targets) == calls
 
 
-async def test_a_feed_of_a_former_generation_is_read_anew(store, platform):
+async def test_a_feed_of_an_earlier_generation_has_no_history(store, platform):
     after = (await store.snapshot('t')).unwrap().version
     platform.era = '2'
     # The answer reports the new generation, whose earlier changes it lacks.
@@ -117,7 +119,7 @@
     assert len(platform.targets) == calls
 
 
-async def test_a_list_that_changes_its_era_between_pages_is_a_failure(
+async def test_a_generation_change_between_pages_is_a_failure(
     store, platform, monkeypatch
 ):
     async def ask(method, target, *args):
--- a/tests/platform/test_http.py
+++ b/tests/platform/test_http.py
@@ -41,7 +41,7 @@
     return ask
 
 
-async def test_a_response_is_waited_for_while_it_comes(fetch):
+async def test_a_response_is_awaited_while_bytes_arrive(fetch):
     """It takes 1.5 s, three times the limit.
 
     With the limit on the whole response, no such read ever completed.
@@ -50,7 +50,7 @@
     assert answer.unwrap().body == BODY
 
 
-async def test_a_response_that_stalls_is_given_up(fetch):
+async def test_a_response_that_stalls_is_abandoned(fetch):
     """Its parts arrive at intervals of one second."""
     answer = await fetch(8_000)
     assert answer.is_err()
--- a/tests/platform/test_instances.py
+++ b/tests/platform/test_instances.py
@@ -68,7 +68,7 @@
     return report
 
 
-async def test_a_position_of_a_former_term_is_none_of_the_new_one(asked):
+async def test_a_position_of_an_earlier_term_does_not_count(asked):
     """After a change of primary, reads must not be refused.
 
     The new primary reports the last position of the previous term. When that
@@ -79,7 +79,7 @@
     assert (found.marker, found.lsn, found.received_lsn) == (2, 0, 0)
 
 
-async def test_a_position_of_the_term_itself_counts(asked):
+async def test_a_position_of_the_current_term_counts(asked):
     found = await asked('replica 2 2.9 0 12 1 4', '2.7')
     assert (found.marker, found.lsn, found.received_lsn) == (2, 7, 9)
 
@@ -95,9 +95,7 @@
         ('replica 2 2.9 0 12 1 4', 'there'),
     ],
 )
-async def test_a_report_that_cannot_be_read_ends_its_connection(
-    answered, row, ready
-):
+async def test_a_malformed_report_ends_the_connection(answered, row, ready):
     """Only the connection ends: an answer without a row ended the process."""
     outcome = await answered(row, ready)
     assert isinstance(outcome, core.JobFailed)
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -39,7 +39,7 @@
 
 
 @pytest.fixture
-def store_that_says(monkeypatch):
+def store_receiving(monkeypatch):
     """Return a function that makes a store which receives a given body."""
 
     def make(body: bytes) -> _store.Store:
@@ -53,21 +53,21 @@
     return make
 
 
-async def test_an_answer_is_read(store_that_says):
-    store = store_that_says(json.dumps(PAGE).encode())
+async def test_an_answer_is_decoded(store_receiving):
+    store = store_receiving(json.dumps(PAGE).encode())
     found = (await store.snapshot('t')).unwrap()
     assert found == _store.Snapshot([_store.Row('k', b'{"}', 3)], 9)
 
 
-async def test_a_removed_row_is_told(store_that_says):
+async def test_a_removed_row_is_none(store_receiving):
     gone = {'table': 't', 'part': '', 'key': 'k', 'ver': 3, 'removed': True}
-    store = store_that_says(json.dumps({**PAGE, 'rows': [gone]}).encode())
+    store = store_receiving(json.dumps({**PAGE, 'rows': [gone]}).encode())
     assert (await store.feed('t', 1, 1.0)).unwrap().rows == {'k': None}
 
 
 @pytest.mark.parametrize('body', BODIES, ids=lambda raw: raw[:40].decode('l1'))
-async def test_what_is_no_answer_is_a_failure(store_that_says, body):
-    store = store_that_says(body)
+async def test_an_invalid_answer_is_a_failure(store_receiving, body):
+    store = store_receiving(body)
     assert (await store.snapshot('t')).is_err()
     assert (await store.feed('t', 1, 1.0)).is_err()
     if b'"ver": 9' not in body:
