--- a/tests/platform/test_generations.py
+++ b/tests/platform/test_generations.py
@@ -1,6 +1,7 @@
-"""Versions of the store hold within one of its generations only.
+"""Versions of the store are valid within one of its generations only.
 
-The story stands at the top of `tests/edge/test_edge_returns.py`.
+`tests/edge/test_edge_returns.py` describes the fault that these tests guard
+against.
 """
 
 import json
@@ -24,7 +25,7 @@
 
 
 class Platform:
-    """Answers each call alike, in the era that it is told."""
+    """Answers each call with the same row and the set generation."""
 
     def __init__(self) -> None:
         self.era: str | None = '1'
@@ -39,7 +40,7 @@
         if self.era is not None:
             headers += ((b'store-era', self.era.encode()),)
         return result.Ok(
-            _http.HttpAnswer(self.status, json.dumps(page).encode(), headers)
+            _http.HttpResponse(self.status, json.dumps(page).encode(), headers)
         )
 
 
@@ -62,7 +63,7 @@
     assert store.generation == 1
 
 
-async def test_a_store_that_names_no_era_is_of_one_generation(store, platform):
+async def test_a_store_without_the_header_has_one_generation(store, platform):
     platform.era = None
     found = (await store.read('k')).unwrap()
     assert found == ports.Versioned(b'{"}', '3')
@@ -70,7 +71,7 @@
 
 
 @pytest.mark.parametrize('era', ['', 'x', '-1', '1.5', '1 2', '9' * 30])
-async def test_an_answer_whose_era_cannot_be_read_is_a_failure(
+async def test_an_answer_with_an_invalid_generation_is_a_failure(
     store, platform, era
 ):
     platform.era = era
@@ -78,7 +79,7 @@
     assert store.generation == 0
 
 
-async def test_an_answer_of_a_former_era_is_not_used(store, platform):
+async def test_an_answer_of_an_earlier_generation_is_refused(store, platform):
     platform.era = '5'
     await store.read('k')
     platform.era = '4'
@@ -93,8 +94,10 @@
     assert (await store.snapshot('t')).unwrap().version > before
 
 
-async def test_a_condition_of_a_former_generation_is_not_sent(store, platform):
-    """The version may have been given out again, to another row."""
+async def test_a_condition_of_an_earlier_generation_is_not_sent(
+    store, platform
+):
+    """The version may have been assigned again, to another row."""
     tag = (await store.read('k')).unwrap().tag
     platform.era = '2'
     await store.read('k')
@@ -106,17 +109,17 @@
     assert len(platform.targets) == calls
 
 
-async def test_a_feed_of_a_former_generation_is_read_anew(store, platform):
+async def test_a_feed_of_an_earlier_generation_has_no_history(store, platform):
     after = (await store.snapshot('t')).unwrap().version
     platform.era = '2'
-    # The answer itself tells: what came before it in this era is missing.
+    # The answer reports the new generation, whose earlier changes it lacks.
     assert (await store.feed('t', after, 1.0)).unwrap() is None
     calls = len(platform.targets)
     assert (await store.feed('t', after, 1.0)).unwrap() is None
     assert len(platform.targets) == calls
 
 
-async def test_a_list_that_changes_its_era_between_pages_is_a_failure(
+async def test_a_generation_change_between_pages_is_a_failure(
     store, platform, monkeypatch
 ):
     async def ask(method, target, *args):
@@ -124,7 +127,7 @@
         platform.era = '2'
         page = {**json.loads(answer.body), 'truncated': True}
         body = json.dumps(page).encode()
-        return result.Ok(_http.HttpAnswer(200, body, answer.headers))
+        return result.Ok(_http.HttpResponse(200, body, answer.headers))
 
     monkeypatch.setattr(store._client, 'ask', ask)
     assert (await store.snapshot('t')).is_err()
--- a/tests/platform/test_store.py
+++ b/tests/platform/test_store.py
@@ -1,4 +1,4 @@
-"""Answers of the platform's store that can't be read."""
+"""Decoding of answers of the platform's store, also of malformed ones."""
 
 import json
 
@@ -16,7 +16,7 @@
 
 ROW = {'table': 't', 'part': '', 'key': 'k', 'ver': 3, 'value': 'eyJ9'}
 PAGE = {'rows': [ROW], 'ver': 9, 'now_ms': 1, 'truncated': False}
-#: Bodies that are no answer to any call.
+#: Bodies that are not a valid answer to any call.
 BODIES = [
     b'',
     b'\xff',
@@ -39,12 +39,12 @@
 
 
 @pytest.fixture
-def store_that_says(monkeypatch):
-    """Give a function that makes a store whose answers are this body."""
+def store_receiving(monkeypatch):
+    """Return a function that makes a store which receives a given body."""
 
     def make(body: bytes) -> _store.Store:
         async def ask(*args):
-            return result.Ok(_http.HttpAnswer(200, body))
+            return result.Ok(_http.HttpResponse(200, body))
 
         store = _store.Store(_settings.Address('127.0.0.1', 1))
         monkeypatch.setattr(store._client, 'ask', ask)
@@ -53,21 +53,21 @@
     return make
 
 
-async def test_an_answer_is_read(store_that_says):
-    store = store_that_says(json.dumps(PAGE).encode())
+async def test_an_answer_is_decoded(store_receiving):
+    store = store_receiving(json.dumps(PAGE).encode())
     found = (await store.snapshot('t')).unwrap()
     assert found == _store.Snapshot([_store.Row('k', b'{"}', 3)], 9)
 
 
-async def test_a_removed_row_is_told(store_that_says):
+async def test_a_removed_row_is_none(store_receiving):
     gone = {'table': 't', 'part': '', 'key': 'k', 'ver': 3, 'removed': True}
-    store = store_that_says(json.dumps({**PAGE, 'rows': [gone]}).encode())
+    store = store_receiving(json.dumps({**PAGE, 'rows': [gone]}).encode())
     assert (await store.feed('t', 1, 1.0)).unwrap().rows == {'k': None}
 
 
 @pytest.mark.parametrize('body', BODIES, ids=lambda raw: raw[:40].decode('l1'))
-async def test_what_is_no_answer_is_a_failure(store_that_says, body):
-    store = store_that_says(body)
+async def test_an_invalid_answer_is_a_failure(store_receiving, body):
+    store = store_receiving(body)
     assert (await store.snapshot('t')).is_err()
     assert (await store.feed('t', 1, 1.0)).is_err()
     if b'"ver": 9' not in body:
@@ -77,4 +77,4 @@
 
 @given(st.binary(max_size=60))
 def test_any_bytes_are_a_page_or_a_reason(body):
-    assert _store._page_of(body).is_err()
+    assert _store._decode_page(body).is_err()
