--- a/src/tidegrade/net/__init__.py
+++ b/src/tidegrade/net/__init__.py
@@ -1,4 +1,4 @@
-"""What sockets need beyond what a stream of the event loop offers."""
+"""Socket operations that the streams of the event loop do not offer."""
 
 from tidegrade.net._shutdown import drop_unsent
 from tidegrade.net._shutdown import shut_down
--- a/src/tidegrade/net/_shutdown.py
+++ b/src/tidegrade/net/_shutdown.py
@@ -1,4 +1,4 @@
-"""Ending a connection under the task that reads it."""
+"""Functions that end a connection while another task reads it."""
 
 import contextlib
 import os
@@ -10,27 +10,32 @@
 from tidegrade.net import _sockets
 
 
-#: Linger for no time at all: closing then resets the connection.
-_RESET = struct.pack('ii', 1, 0)
+#: SO_LINGER value, enabled with a linger time of 0 s: the close of the socket
+#: then resets the connection.
+_LINGER_ZERO = struct.pack('ii', 1, 0)
 
 
 def drop_unsent(stream: anyio.abc.SocketStream) -> None:
-    """Have the close of a connection drop what has not been delivered.
+    """Make the close of a connection discard data not yet delivered.
 
-    Otherwise the kernel goes on sending for as long as the path is cut.
+    Otherwise the kernel keeps retransmitting the data while the network path
+    is cut, and delivers it once the path is restored. Does nothing if the
+    connection has already ended.
     """
     with contextlib.suppress(OSError):
         sock = _sockets.socket_of(stream)
-        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET)
+        sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _LINGER_ZERO)
 
 
 def shut_down(stream: anyio.abc.SocketStream) -> None:
-    """End a connection for both sides; whoever reads it is told.
+    """Shut a connection down in both directions.
 
-    The descriptor is duplicated, since the socket that an event loop shows
-    of its own need not offer this call (uvloop's doesn't).
+    A task that reads from either end receives the end of the stream. Does
+    nothing if the connection has already ended. The descriptor is duplicated
+    because the socket object of an event loop may lack ``shutdown``, as
+    uvloop's does.
     """
     with contextlib.suppress(OSError):
-        shown = _sockets.socket_of(stream)
-        with socket.socket(fileno=os.dup(shown.fileno())) as sock:
+        loop_sock = _sockets.socket_of(stream)
+        with socket.socket(fileno=os.dup(loop_sock.fileno())) as sock:
             sock.shutdown(socket.SHUT_RDWR)
--- a/src/tidegrade/net/_sockets.py
+++ b/src/tidegrade/net/_sockets.py
@@ -1,4 +1,4 @@
-"""The socket under a stream of the event loop."""
+"""Access to the socket of a stream of the event loop."""
 
 import socket
 
@@ -6,11 +6,12 @@
 
 
 def socket_of(stream: anyio.abc.SocketStream) -> socket.socket:
-    """Give the socket of a stream; raises ConnectionResetError.
+    """Return the socket of a stream.
 
-    uvloop shows none once the connection has ended, which may be as it is
-    opened, or one without a descriptor: its methods raise what is no OSError,
-    which ended this process.
+    Raises ConnectionResetError if the connection has ended, which may happen
+    while it is being opened. In that case uvloop offers no socket, or one
+    without a descriptor whose methods raise errors other than OSError; such
+    an error, which no caller handles, would end the process.
     """
     try:
         sock = stream.extra(anyio.abc.SocketAttribute.raw_socket)
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -1,4 +1,4 @@
-"""Sockets under both event loops that programs run on."""
+"""Tests of the socket functions under asyncio and uvloop."""
 
 import socket
 
@@ -18,7 +18,7 @@
 
 @pytest.fixture
 async def pair():
-    """Give both ends of a connection."""
+    """Both ends of a connection."""
     ends = []
 
     async def accept(stream: anyio.abc.SocketStream) -> None:
@@ -38,7 +38,7 @@
 
 
 async def test_who_reads_a_connection_that_is_shut_down_is_told(pair):
-    """Found on a day with a primary that is replaced: uvloop can't."""
+    """Guards against the use of uvloop's socket, which has no shutdown."""
     near, far = pair
 
     async def shut_down_soon() -> None:
@@ -54,13 +54,13 @@
             await far.receive()
 
 
-async def test_a_connection_that_has_ended_is_shut_down_in_vain(pair):
+async def test_shutting_down_an_ended_connection_does_nothing(pair):
     near, _ = pair
     net.shut_down(near)
     net.shut_down(near)
 
 
-async def test_the_kernel_watches_for_silence(pair):
+async def test_the_kernel_limits_unacknowledged_time(pair):
     near, _ = pair
     net.watch(near)
     sock = near.extra(anyio.abc.SocketAttribute.raw_socket)
@@ -69,15 +69,12 @@
 
 
 async def test_a_connection_that_has_ended_is_no_fault_of_ours(pair):
-    """A proxy ended by itself as a peer did.
+    """Guards against a proxy that terminates when a peer terminates.
 
-    What happens: a connection ends in the moment in which it is opened. Why:
-    uvloop shows no socket of it any more, and whoever asks got an
-    AttributeError, which nobody takes for the end of a connection.
-
-    What showed it: soak seed 101 beside load, one run, a traceback from the
-    opening of a link to a peer: "'NoneType' object has no attribute
-    'getpeername'".
+    A connection may end while it is being opened. uvloop then offers no
+    socket, and access to it raises AttributeError ("'NoneType' object has no
+    attribute 'getpeername'"), which is not handled as the end of a
+    connection. The error occurred while a link to a peer was opened.
     """
     near, _ = pair
     await anyio.aclose_forcefully(near)
@@ -87,8 +84,8 @@
     net.shut_down(near)
 
 
-async def test_what_was_not_delivered_is_dropped_with_a_reset(pair):
-    """Else a call that was given up arrives once a path is whole again."""
+async def test_undelivered_data_is_discarded_with_a_reset(pair):
+    """Otherwise an abandoned call arrives once the path is restored."""
     near, far = pair
     net.drop_unsent(near)
     await anyio.aclose_forcefully(near)
@@ -97,11 +94,11 @@
 
 
 async def test_a_connection_that_has_ended_has_nothing_to_drop(pair):
-    """A proxy ended by itself as it gave up a call that had ended already.
+    """Guards against a proxy that terminates as it abandons a failed call.
 
-    What happens: a call fails because its connection ended, and is then
-    reset. Why: uvloop still shows a socket, without a descriptor, and says
-    so by another error than the system's.
+    A call fails because its connection ended, and the connection is then
+    reset. uvloop still offers a socket, but without a descriptor, and its
+    methods raise an error that is not an OSError.
     """
     near, _ = pair
     net.watch(near)
@@ -110,7 +107,7 @@
     net.drop_unsent(near)
 
 
-async def test_a_connection_that_has_ended_cannot_be_watched(pair):
+async def test_an_ended_connection_raises_oserror(pair):
     near, _ = pair
     net.watch(near)
     await anyio.aclose_forcefully(near)
