--- a/src/tidegrade/adapters/__init__.py
+++ b/src/tidegrade/adapters/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters: the real outside, behind the ports."""
+"""Adapters that implement the ports with real external systems."""
--- a/src/tidegrade/adapters/_clock.py
+++ b/src/tidegrade/adapters/_clock.py
@@ -1,11 +1,14 @@
-"""The real clock."""
+"""The system clock."""
 
 import time
 
 
 class BootClock:
-    """Seconds since the machine started, suspension included."""
+    """A monotonic clock that also advances while the VM is suspended.
+
+    It counts seconds from the start of the machine.
+    """
 
     def now(self) -> float:
-        """Give the current time in seconds."""
+        """Return the current time, in seconds."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/src/tidegrade/adapters/_http_callers.py
+++ b/src/tidegrade/adapters/_http_callers.py
@@ -1,4 +1,4 @@
-"""The caller interface over HTTP/1.1 and JSON."""
+"""The HTTP/1.1 and JSON interface for callers."""
 
 import typing
 
@@ -17,11 +17,12 @@
 DEADLINE = 'Tidegrade-Deadline-Ms'
 IDEMPOTENCY_KEY = 'Idempotency-Key'
 
-#: Longest idempotency key, in characters.
-MAX_KEY = 200
+#: Longest idempotency key that is accepted, in characters.
+MAX_KEY_LENGTH = 200
 
-#: Statements that would end or begin a transaction by themselves.
-TXN_CONTROL = frozenset(
+#: First words of the statements that begin, end or divide a transaction.
+#: Callers send requests for this instead.
+TXN_CONTROL_KEYWORDS = frozenset(
     {
         'ABORT',
         'BEGIN',
@@ -36,12 +37,12 @@
 )
 
 
-B = typing.TypeVar('B')
+Body = typing.TypeVar('Body')
 
 
 @attrs.frozen
 class HttpLimits:
-    """Limits of the HTTP interfaces; sizes in bytes, times in seconds."""
+    """Limits of the HTTP interfaces; sizes are in bytes, times in seconds."""
 
     max_body_bytes: int
     body_timeout_s: float
@@ -52,7 +53,7 @@
 
 @attrs.frozen
 class StatementBody:
-    """One statement in a request's body."""
+    """One statement in the body of a request."""
 
     sql: str
     params: list[object] = attrs.field(factory=list)
@@ -62,8 +63,8 @@
 class StatementsBody:
     """The body of a request that runs statements.
 
-    ``mode`` is ``read`` or ``write``; a read may name a ``read_class`` or
-    bound its age by ``max_age_s``.
+    ``mode`` is ``read`` or ``write``. A read may name a ``read_class`` or
+    limit the age of its data by ``max_age_s``, in seconds.
     """
 
     statements: list[StatementBody]
@@ -75,13 +76,13 @@
 
 @attrs.frozen
 class StepBody:
-    """The body of a step in an interactive transaction."""
+    """The body of a request for an interactive transaction."""
 
     statements: list[StatementBody] = attrs.field(factory=list)
 
 
 class CallerRoutes:
-    """The routes that callers use."""
+    """The HTTP routes of the caller interface."""
 
     def __init__(
         self,
@@ -95,7 +96,7 @@
         self._in_flight = 0
 
     def routes(self) -> list[routing.BaseRoute]:
-        """Give the routes."""
+        """Return the routes."""
         base = '/v1/sites/{site}/groups/{group}'
         txn = base + '/transactions/{txn}'
         return [
@@ -106,7 +107,9 @@
             _post(txn + '/rollback', self._rollback),
         ]
 
-    async def _statements(self, req: requests.Request) -> common.FinalResponse:
+    async def _statements(
+        self, req: requests.Request
+    ) -> common.DeferredResponse:
         body = await self._body(req, StatementsBody)
         if body.mode not in ('read', 'write'):
             raise common.BadRequest(
@@ -130,11 +133,11 @@
             idempotent=body.idempotent,
         )
 
-    async def _begin(self, req: requests.Request) -> common.FinalResponse:
+    async def _begin(self, req: requests.Request) -> common.DeferredResponse:
         await self._body(req, StepBody)
         return await self._call(req, core.Kind.BEGIN)
 
-    async def _execute(self, req: requests.Request) -> common.FinalResponse:
+    async def _execute(self, req: requests.Request) -> common.DeferredResponse:
         body = await self._body(req, StepBody)
         return await self._call(
             req,
@@ -142,15 +145,17 @@
             statements=_statements_of(body.statements),
         )
 
-    async def _commit(self, req: requests.Request) -> common.FinalResponse:
+    async def _commit(self, req: requests.Request) -> common.DeferredResponse:
         await self._body(req, StepBody)
         return await self._call(req, core.Kind.COMMIT)
 
-    async def _rollback(self, req: requests.Request) -> common.FinalResponse:
+    async def _rollback(
+        self, req: requests.Request
+    ) -> common.DeferredResponse:
         await self._body(req, StepBody)
         return await self._call(req, core.Kind.ROLLBACK)
 
-    async def _body(self, req: requests.Request, kind: type[B]) -> B:
+    async def _body(self, req: requests.Request, kind: type[Body]) -> Body:
         raw = await common.read_body(
             req, self._limits.max_body_bytes, self._limits.body_timeout_s
         )
@@ -161,7 +166,7 @@
 
     async def _call(
         self, req: requests.Request, kind: core.Kind, **fields: object
-    ) -> common.FinalResponse:
+    ) -> common.DeferredResponse:
         received = self._clock.now()
         request_id = common.request_id(req)
         if self._in_flight >= self._limits.max_in_flight:
@@ -171,7 +176,7 @@
                 detail='the proxy has too many requests in flight',
                 retry_after=1.0,
             )
-            return common.FinalResponse(
+            return common.DeferredResponse(
                 lambda: answer_response(full, '', request_id)
             )
         call = ports.Call(
@@ -192,7 +197,7 @@
             reply = await self._callers.call(call)
         finally:
             self._in_flight -= 1
-        return common.FinalResponse(
+        return common.DeferredResponse(
             lambda: answer_response(reply.final(), reply.session, request_id)
         )
 
@@ -202,7 +207,7 @@
             return self._limits.default_deadline_s
         if not text.isdecimal() or len(text) > 9:
             raise common.BadRequest(
-                400, (f'{DEADLINE} takes a whole number of milliseconds',)
+                400, (f'{DEADLINE} must be a whole number of milliseconds',)
             )
         return min(int(text) / 1000, self._limits.max_deadline_s)
 
@@ -210,7 +215,10 @@
 def answer_response(
     answer: core.Answer, session: str, request_id: str
 ) -> responses.Response:
-    """Give the response that says an answer."""
+    """Return the HTTP response for an answer.
+
+    ``session`` is the new session token, or empty if there is none.
+    """
     headers = {common.REQUEST_ID: request_id}
     if session:
         headers[SESSION] = session
@@ -258,11 +266,12 @@
         return None
     if kind is not core.Kind.WRITE:
         raise common.BadRequest(
-            400, (f'{IDEMPOTENCY_KEY} goes with one-shot writes only',)
+            400, (f'{IDEMPOTENCY_KEY} is allowed for one-shot writes only',)
         )
-    if not 0 < len(key) <= MAX_KEY:
+    if not 0 < len(key) <= MAX_KEY_LENGTH:
         raise common.BadRequest(
-            400, (f'{IDEMPOTENCY_KEY} has 1 to {MAX_KEY} characters',)
+            400,
+            (f'{IDEMPOTENCY_KEY} must have 1 to {MAX_KEY_LENGTH} characters',),
         )
     return key
 
@@ -281,9 +290,10 @@
     words = body.sql.split(None, 1)
     if not words:
         raise common.BadRequest(400, (f'expected a statement at {path}',))
-    if words[0].rstrip(';').upper() in TXN_CONTROL:
+    if words[0].rstrip(';').upper() in TXN_CONTROL_KEYWORDS:
         raise common.BadRequest(
-            400, (f'transactions are controlled by requests, not at {path}',)
+            400,
+            (f'transaction control is not allowed in a statement, at {path}',),
         )
     for index, value in enumerate(body.params):
         if not isinstance(value, str | int | float | bool | None):
--- a/src/tidegrade/adapters/_http_common.py
+++ b/src/tidegrade/adapters/_http_common.py
@@ -1,4 +1,4 @@
-"""Problem details, limits and bodies for the HTTP interfaces."""
+"""Problem details, request ids and body limits of the HTTP interfaces."""
 
 from collections.abc import Callable
 import math
@@ -17,12 +17,12 @@
 PROBLEM_TYPE = 'application/problem+json'
 JSON_TYPE = 'application/json'
 
-#: Header with the id under which logs name a request.
+#: Header with the id that identifies a request in the logs.
 REQUEST_ID = 'Tidegrade-Request-Id'
-#: Longest id taken from a caller, in characters.
-MAX_REQUEST_ID = 100
+#: Longest request id that is accepted from a caller, in characters.
+MAX_REQUEST_ID_LENGTH = 100
 
-#: Status of each problem code; RFC 9110 gives their meaning.
+#: HTTP status of each problem code, as defined by RFC 9110.
 STATUS_OF = {
     core.Code.DEADLINE: 504,
     core.Code.OVERLOADED: 503,
@@ -49,7 +49,10 @@
 
 @attrs.frozen
 class BadRequest(Exception):
-    """A request that can't be understood; nothing of it ran."""
+    """A malformed request, of which no statement was executed.
+
+    ``status`` is the HTTP status and ``details`` lists the faults found.
+    """
 
     status: int
     details: tuple[str, ...]
@@ -62,7 +65,10 @@
     fields: dict[str, object] | None = None,
     retry_after: float | None = None,
 ) -> responses.Response:
-    """Give problem details as RFC 9457 describes them."""
+    """Return a response with problem details as defined by RFC 9457.
+
+    ``fields`` are added to the body. ``retry_after`` is in seconds.
+    """
     body: dict[str, object] = {
         'type': 'about:blank',
         'status': status,
@@ -84,7 +90,7 @@
 def json_response(
     body: object, status: int = 200, headers: dict[str, str] | None = None
 ) -> responses.Response:
-    """Give a JSON response."""
+    """Return a response whose body is JSON."""
     return responses.Response(
         orjson.dumps(body), status, headers, media_type=JSON_TYPE
     )
@@ -93,14 +99,18 @@
 async def read_body(
     req: requests.Request, limit: int, time_limit: float
 ) -> bytes:
-    """Read a body within its limits of size and time."""
+    """Return the body of a request.
+
+    Raises :class:`BadRequest` if the body is larger than ``limit`` bytes,
+    takes more than ``time_limit`` seconds or is incomplete.
+    """
     chunks = bytearray()
     try:
         with anyio.fail_after(time_limit):
             async for chunk in req.stream():
                 chunks += chunk
                 if len(chunks) > limit:
-                    raise BadRequest(413, (f'a body has up to {limit} bytes',))
+                    raise BadRequest(413, (f'the body exceeds {limit} bytes',))
     except TimeoutError:
         detail = f'the body took more than {time_limit} s'
         raise BadRequest(408, (detail,)) from None
@@ -112,7 +122,7 @@
 async def bad_request(
     req: requests.Request, exc: Exception
 ) -> responses.Response:
-    """Answer a :class:`BadRequest`."""
+    """Return the response to a :class:`BadRequest`."""
     assert isinstance(exc, BadRequest)
     return problem(
         exc.status,
@@ -128,7 +138,10 @@
 async def internal_fault(
     req: requests.Request, exc: Exception
 ) -> responses.Response:
-    """Answer a request that met a fault of ours; nobody knows its end."""
+    """Log an unhandled exception and return the response to its request.
+
+    The outcome is unknown, since statements may have been executed.
+    """
     logs.write(
         logs.LogEvent.REQUEST_FAILED,
         request=request_id(req),
@@ -138,28 +151,32 @@
     return problem(
         500,
         'internal_fault',
-        'the proxy met a fault of its own',
+        'an internal error occurred in the proxy',
         {'outcome': core.Outcome.UNKNOWN.value},
     )
 
 
 def request_id(req: requests.Request) -> str:
-    """Give the request's id: the caller's own if it is short, or ours."""
+    """Return the id of a request.
+
+    This is the id that the caller sent if it is printable ASCII of at most
+    :data:`MAX_REQUEST_ID_LENGTH` characters, otherwise a generated one.
+    """
     known = getattr(req.state, 'request_id', None)
     if known is None:
         given = req.headers.get(REQUEST_ID, '')
         usable = given.isascii() and given.isprintable()
-        if not usable or not 0 < len(given) <= MAX_REQUEST_ID:
+        if not usable or not 0 < len(given) <= MAX_REQUEST_ID_LENGTH:
             given = uuid.uuid4().hex
         known = req.state.request_id = given
     return known
 
 
-class FinalResponse:
-    """A response whose content is decided as its first byte is sent."""
+class DeferredResponse:
+    """A response whose content is determined when its sending begins."""
 
-    def __init__(self, decide: Callable[[], responses.Response]) -> None:
-        self._decide = decide
+    def __init__(self, build: Callable[[], responses.Response]) -> None:
+        self._build = build
 
     async def __call__(
         self,
@@ -167,5 +184,5 @@
         receive: types.Receive,
         send: types.Send,
     ) -> None:
-        """Decide and send, with nothing that waits in between."""
-        await self._decide()(scope, receive, send)
+        """Determine the response and send it, without awaiting in between."""
+        await self._build()(scope, receive, send)
--- a/src/tidegrade/adapters/_http_operators.py
+++ b/src/tidegrade/adapters/_http_operators.py
@@ -1,4 +1,4 @@
-"""The operators' interface over HTTP/1.1 and JSON."""
+"""The HTTP/1.1 and JSON interface for operators."""
 
 import attrs
 import orjson
@@ -11,13 +11,16 @@
 from tidegrade.codec import _structure
 from tidegrade import ports
 
-#: Largest configuration file, in bytes.
-MAX_DOCUMENT = 16_000_000
+#: Largest body of an apply request, in bytes.
+MAX_DOCUMENT_BYTES = 16_000_000
 
 
 @attrs.frozen
 class ApplyBody:
-    """The body of an apply: the document and what it was based on."""
+    """The body of an apply request.
+
+    ``base`` is the version that the document was derived from, if known.
+    """
 
     document: dict[str, object]
     apply_id: str
@@ -25,7 +28,7 @@
 
 
 class OperatorRoutes:
-    """The routes that operators use."""
+    """The HTTP routes of the operator interface."""
 
     def __init__(
         self, operators: ports.Operators, limits: _http_callers.HttpLimits
@@ -34,7 +37,7 @@
         self._limits = limits
 
     def routes(self) -> list[routing.BaseRoute]:
-        """Give the routes."""
+        """Return the routes."""
         base = '/admin/v1'
         return [
             routing.Route(f'{base}/config', self._show),
@@ -70,7 +73,7 @@
     async def _apply(self, req: requests.Request) -> responses.Response:
         operator = self._operator(req)
         raw = await common.read_body(
-            req, MAX_DOCUMENT, self._limits.body_timeout_s
+            req, MAX_DOCUMENT_BYTES, self._limits.body_timeout_s
         )
         read = _structure.structure(raw, ApplyBody)
         if read.is_err():
@@ -99,14 +102,16 @@
 
 
 class NotAnOperator(Exception):
-    """No operator's key was presented."""
+    """A request that does not carry the key of an operator."""
 
 
 async def not_an_operator(
     req: requests.Request, exc: Exception
 ) -> responses.Response:
-    """Answer a :class:`NotAnOperator`."""
-    return common.problem(401, 'unauthorized', "no operator's key")
+    """Return the response to a :class:`NotAnOperator`."""
+    return common.problem(
+        401, 'unauthorized', 'no valid operator key was presented'
+    )
 
 
 def _unavailable() -> responses.Response:
--- a/src/tidegrade/adapters/_http_server.py
+++ b/src/tidegrade/adapters/_http_server.py
@@ -1,4 +1,4 @@
-"""The HTTP server: uvicorn, with a limit on the time of a request's head."""
+"""The HTTP server: uvicorn with a time limit for request headers."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,14 +12,15 @@
 
 
 def protocol_with(header_timeout: float) -> type:
-    """Give a protocol class that closes connections with slow heads.
+    """Return a protocol class that closes connections with slow headers.
 
-    uvicorn limits the time between requests, but not that of a head which
-    trickles in; without this, slow clients could hold all connections.
+    ``header_timeout`` is in seconds. uvicorn limits the time between
+    requests but not the time in which the headers of one arrive; without
+    this limit, slow clients could occupy all connections.
     """
 
-    class TimedHeads(httptools_impl.HttpToolsProtocol):
-        """Closes a connection whose request head takes too long."""
+    class HeaderTimeoutProtocol(httptools_impl.HttpToolsProtocol):
+        """Closes a connection whose request headers take too long."""
 
         _timer: asyncio.TimerHandle | None = None
 
@@ -50,15 +51,16 @@
                 self._timer.cancel()
                 self._timer = None
 
-    return TimedHeads
+    return HeaderTimeoutProtocol
 
 
 class CloseWhileDraining:
-    """Ends each connection with its answer while the proxy drains.
+    """Middleware that closes connections while the proxy drains.
 
-    A client that sends on a connection just as the server closes it can't
-    tell whether it was heard. So a draining server says with each answer
-    that the connection ends, and closes only what stayed idle since.
+    A client that sends a request just as the server closes the connection
+    cannot know whether the request was received. A draining server therefore
+    adds ``Connection: close`` to each response, and closes by itself only
+    connections that have been idle since.
     """
 
     def __init__(
@@ -73,21 +75,21 @@
         receive: types.Receive,
         send: types.Send,
     ) -> None:
-        """Serve one request."""
+        """Serve a request; while draining, announce the close."""
 
-        async def closing(message: types.Message) -> None:
+        async def send_closing(message: types.Message) -> None:
             if message['type'] == 'http.response.start' and self._draining():
                 headers = [*message['headers'], (b'connection', b'close')]
                 message = {**message, 'headers': headers}
             await send(message)
 
-        await self._app(scope, receive, closing)
+        await self._app(scope, receive, send_closing)
 
 
 class Server(uvicorn.Server):
-    """A server that leaves signals to whoever runs it."""
+    """A uvicorn server that installs no signal handlers."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Leave signals alone."""
+        """Leave signal handling to the program that runs the server."""
         yield
--- a/src/tidegrade/adapters/_keys.py
+++ b/src/tidegrade/adapters/_keys.py
@@ -1,4 +1,7 @@
-"""Keys that callers and operators present; only hashes are kept."""
+"""Authentication of callers and operators by bearer keys.
+
+Only the hashes of the keys are stored.
+"""
 
 from collections.abc import Mapping
 import hmac
@@ -9,7 +12,7 @@
 
 
 def key_in(authorization: str | None) -> str | None:
-    """Give the key that a request presents, if it does."""
+    """Return the key in the value of an Authorization header, or None."""
     if not authorization or not authorization.startswith(BEARER):
         return None
     return authorization[len(BEARER) :].strip()
@@ -18,17 +21,18 @@
 def holder_of(
     authorization: str | None, hashes: Mapping[str, str]
 ) -> str | None:
-    """Give whose key a request presents, or None.
+    """Return the name of the holder of the key in a request, or None.
 
-    Every hash is compared, each in constant time, so that the time taken
-    tells nothing about the keys.
+    ``hashes`` maps the names of holders to the hashes of their keys. Every
+    hash is compared, each in constant time, so that the time taken reveals
+    nothing about the keys.
     """
     key = key_in(authorization)
     if key is None:
         return None
-    presented = tenants.key_hash(key)
+    presented_hash = tenants.key_hash(key)
     found = None
     for name, expected in hashes.items():
-        if hmac.compare_digest(presented, expected):
+        if hmac.compare_digest(presented_hash, expected):
             found = name
     return found
--- a/src/tidegrade/adapters/_metrics.py
+++ b/src/tidegrade/adapters/_metrics.py
@@ -1,10 +1,10 @@
-"""Metrics in the Prometheus text format, through aioprometheus."""
+"""Metrics in the Prometheus text format, provided by aioprometheus."""
 
 import aioprometheus
 from aioprometheus import formats
 
-#: Bounds of the latency histograms, in seconds.
-LATENCY_BUCKETS = [
+#: Upper bounds of the buckets of the latency histograms, in seconds.
+LATENCY_BUCKETS_S = [
     0.001,
     0.002,
     0.005,
@@ -21,7 +21,7 @@
 
 
 class Metrics:
-    """The proxy's metrics; one object a process."""
+    """The metrics of the proxy; a process has one instance."""
 
     def __init__(self) -> None:
         self.registry = aioprometheus.Registry()
@@ -62,7 +62,10 @@
         )
 
     def render(self, accept: str) -> tuple[bytes, dict[str, str]]:
-        """Give the metrics page and its headers."""
+        """Return the metrics page and its HTTP headers.
+
+        ``accept`` is the value of the request's ``Accept`` header.
+        """
         content, headers = aioprometheus.render(
             self.registry, [accept] if accept else []
         )
@@ -76,9 +79,9 @@
 
     def _histogram(self, name: str, doc: str) -> aioprometheus.Histogram:
         return aioprometheus.Histogram(
-            name, doc, registry=self.registry, buckets=LATENCY_BUCKETS
+            name, doc, registry=self.registry, buckets=LATENCY_BUCKETS_S
         )
 
 
-#: Content type of the page, for those who ask without negotiation.
+#: Content type of the metrics page for requests without an Accept header.
 TEXT_TYPE = formats.text.TEXT_CONTENT_TYPE
--- a/src/tidegrade/adapters/_openapi.py
+++ b/src/tidegrade/adapters/_openapi.py
@@ -1,4 +1,4 @@
-"""The caller interface as an OpenAPI document, made from the program."""
+"""Generator of the OpenAPI document of the caller interface."""
 
 import types
 import typing
@@ -22,7 +22,7 @@
 
 
 def document() -> dict[str, object]:
-    """Give the whole document."""
+    """Return the OpenAPI document."""
     txn = BASE + '/transactions/{txn}'
     return {
         'openapi': '3.1.0',
@@ -49,7 +49,7 @@
 
 
 def schema(kind: typing.Any) -> dict[str, object]:
-    """Give the JSON schema of an attrs class or plain type."""
+    """Return the JSON schema of an attrs class or a plain type."""
     if attrs.has(kind):
         return _object(kind)
     origin = typing.get_origin(kind)
--- a/src/tidegrade/adapters/_platform.py
+++ b/src/tidegrade/adapters/_platform.py
@@ -1,4 +1,4 @@
-"""The platform over HTTP with conditional requests (RFC 9110)."""
+"""Client of the platform over HTTP, with conditional requests (RFC 9110)."""
 
 from collections.abc import Collection
 import ssl
@@ -13,9 +13,11 @@
 
 @attrs.frozen
 class PlatformSettings:
-    """Where the platform is and how long it may take, in seconds.
+    """Address of the platform and time limit of each request.
 
-    ``ca_file`` holds the certificates that sign the platform's.
+    ``timeout_s`` is in seconds. ``ca_file`` contains the certificates of the
+    authorities that sign the platform's certificate; if it is empty, the
+    default authorities are used.
     """
 
     url: str
@@ -24,7 +26,7 @@
 
 
 class HttpPlatform:
-    """Table, object store and VM list behind one address."""
+    """The table, object store and VM list at one address."""
 
     def __init__(self, cfg: PlatformSettings, proxy_id: str) -> None:
         verify: ssl.SSLContext | bool = True
@@ -46,14 +48,14 @@
 
     @property
     def generation(self) -> int:
-        """Give 0: this platform tells of no return from an older copy."""
+        """Always 0: this platform does not report a restore from a backup."""
         return 0
 
     async def read(
         self, key: str
     ) -> result.Result[ports.Versioned | None, str]:
-        """Give a row, None if there is none, or why it can't be read."""
-        answer = await self._ask('GET', f'/table/{key}')
+        """Return a row, None if it is absent, or why it can't be read."""
+        answer = await self._request('GET', f'/table/{key}')
         if answer.is_err():
             return result.Err(answer.unwrap_err())
         res = answer.unwrap()
@@ -62,16 +64,21 @@
         tag = res.headers.get('etag')
         if res.is_success and tag:
             return result.Ok(ports.Versioned(res.content, tag))
-        return result.Err(f'reading a row gave status {res.status_code}')
+        return result.Err(
+            f'reading a row failed with status {res.status_code}'
+        )
 
     async def write(
         self, key: str, value: bytes, expected: str | None
     ) -> result.Result[str, ports.WriteProblem]:
-        """Write a row if its tag is ``expected`` (None: it is absent)."""
+        """Write a row if its entity tag is ``expected`` (None: it is absent).
+
+        Returns the new entity tag.
+        """
         headers = {'If-None-Match': '*'}
         if expected is not None:
             headers = {'If-Match': expected}
-        answer = await self._ask(
+        answer = await self._request(
             'PUT', f'/table/{key}', content=value, headers=headers
         )
         if answer.is_err():
@@ -87,17 +94,20 @@
     async def delete(
         self, key: str, expected: str
     ) -> result.Result[None, str]:
-        """Delete a row if its tag is ``expected``."""
+        """Delete a row if its entity tag is ``expected``."""
         headers = {'If-Match': expected}
-        answer = await self._ask('DELETE', f'/table/{key}', headers=headers)
-        return _nothing(answer)
+        answer = await self._request(
+            'DELETE', f'/table/{key}', headers=headers
+        )
+        return _empty_result(answer)
 
     async def read_all(
         self, keys: Collection[str]
     ) -> result.Result[dict[str, ports.Versioned], str]:
-        """Give those of some rows that are there.
+        """Return those of the requested rows that exist.
 
-        They are read one by one: this platform has no other way.
+        The rows are read one by one, because this platform has no request
+        for several rows.
         """
         rows = {}
         for key in sorted(keys):
@@ -110,17 +120,21 @@
         return result.Ok(rows)
 
     async def _keys(self, prefix: str) -> result.Result[list[str], str]:
-        """Give the keys that begin with ``prefix``."""
-        answer = await self._ask('GET', '/table', params={'prefix': prefix})
+        """Return the keys that begin with ``prefix``."""
+        answer = await self._request(
+            'GET', '/table', params={'prefix': prefix}
+        )
         if answer.is_err():
             return result.Err(answer.unwrap_err())
         res = answer.unwrap()
         if not res.is_success:
-            return result.Err(f'listing gave status {res.status_code}')
+            return result.Err(
+                f'listing keys failed with status {res.status_code}'
+            )
         return result.Ok(list(res.json()))
 
     async def scan(self, prefix: str) -> result.Result[dict[str, bytes], str]:
-        """Give the rows whose keys begin with ``prefix``."""
+        """Return the rows whose keys begin with ``prefix``."""
         listed = await self._keys(prefix)
         if listed.is_err():
             return result.Err(listed.unwrap_err())
@@ -132,8 +146,8 @@
     # Object store ---------------------------------------------------------
 
     async def get(self, name: str) -> result.Result[bytes | None, str]:
-        """Give an object, or None if there is none."""
-        answer = await self._ask('GET', f'/objects/{name}')
+        """Return an object, or None if it is absent."""
+        answer = await self._request('GET', f'/objects/{name}')
         if answer.is_err():
             return result.Err(answer.unwrap_err())
         res = answer.unwrap()
@@ -141,30 +155,34 @@
             return result.Ok(None)
         if res.is_success:
             return result.Ok(res.content)
-        return result.Err(f'an object gave status {res.status_code}')
+        return result.Err(
+            f'reading an object failed with status {res.status_code}'
+        )
 
     async def put(self, name: str, content: bytes) -> result.Result[None, str]:
-        """Store an object; storing the same again does no harm."""
-        return _nothing(
-            await self._ask('PUT', f'/objects/{name}', content=content)
+        """Store an object; storing the same object again is harmless."""
+        return _empty_result(
+            await self._request('PUT', f'/objects/{name}', content=content)
         )
 
     # VM list --------------------------------------------------------------
 
     async def vms(self) -> result.Result[list[ports.Vm], str]:
-        """Give the VM list."""
-        answer = await self._ask('GET', '/vms')
+        """Return the VM list."""
+        answer = await self._request('GET', '/vms')
         if answer.is_err():
             return result.Err(answer.unwrap_err())
         res = answer.unwrap()
         if not res.is_success:
-            return result.Err(f'the VM list gave status {res.status_code}')
+            return result.Err(
+                f'reading the VM list failed with status {res.status_code}'
+            )
         try:
             return result.Ok([ports.Vm(**entry) for entry in res.json()])
         except (TypeError, ValueError) as exc:
             return result.Err(f'the VM list is malformed: {exc}')
 
-    async def _ask(
+    async def _request(
         self, method: str, path: str, **options: typing.Any
     ) -> result.Result[httpx.Response, str]:
         try:
@@ -174,7 +192,7 @@
         return result.Ok(res)
 
 
-def _nothing(
+def _empty_result(
     answer: result.Result[httpx.Response, str],
 ) -> result.Result[None, str]:
     if answer.is_err():
@@ -182,4 +200,4 @@
     res = answer.unwrap()
     if res.is_success:
         return result.Ok(None)
-    return result.Err(f'the platform gave status {res.status_code}')
+    return result.Err(f'the platform answered with status {res.status_code}')
--- a/src/tidegrade/adapters/_pointer.py
+++ b/src/tidegrade/adapters/_pointer.py
@@ -1,4 +1,4 @@
-"""The row that points to the accepted configuration, as JSON."""
+"""The JSON row that refers to the accepted configuration."""
 
 import attrs
 import orjson
@@ -8,44 +8,44 @@
 from tidegrade import core
 from tidegrade import ports
 
-#: Accepted configurations that the row remembers.
-HISTORY_KEPT = 50
+#: Largest number of accepted configurations that the row stores.
+MAX_HISTORY_ENTRIES = 50
 
 
 @attrs.frozen
 class Pointer:
-    """The accepted configurations, newest first, never empty."""
+    """The accepted configurations, newest first; the list is never empty."""
 
     history: list[ports.HistoryEntry]
 
     @property
     def newest(self) -> ports.HistoryEntry:
-        """Give the configuration in force."""
+        """The configuration in force."""
         return self.history[0]
 
     @property
     def ref(self) -> core.ConfigRef:
-        """Give the reference to the configuration in force."""
+        """The reference to the configuration in force."""
         return core.ConfigRef(self.newest.version, self.newest.sha256)
 
     def find(self, apply_id: str) -> ports.HistoryEntry | None:
-        """Give the configuration that an apply brought, if it did."""
+        """Return the configuration that an apply request added, or None."""
         for entry in self.history:
             if entry.apply_id == apply_id:
                 return entry
         return None
 
     def extended(self, entry: ports.HistoryEntry) -> 'Pointer':
-        """Give the pointer after another configuration was accepted."""
-        return Pointer([entry, *self.history][:HISTORY_KEPT])
+        """Return a copy to which a newly accepted configuration is added."""
+        return Pointer([entry, *self.history][:MAX_HISTORY_ENTRIES])
 
     def encode(self) -> bytes:
-        """Give the row's value."""
+        """Return the value of the row."""
         return orjson.dumps(attrs.asdict(self))
 
 
 def decode_pointer(value: bytes) -> result.Result[Pointer, str]:
-    """Read the row's value."""
+    """Return the pointer that the value of the row holds, or an error."""
     read = _structure.structure(value, Pointer)
     if read.is_err():
         return result.Err('; '.join(read.unwrap_err()))
--- a/src/tidegrade/adapters/_postgres.py
+++ b/src/tidegrade/adapters/_postgres.py
@@ -1,4 +1,4 @@
-"""Endpoints that speak the PostgreSQL protocol, through psycopg."""
+"""Endpoints that use the PostgreSQL protocol, accessed through psycopg."""
 
 import contextlib
 import os
@@ -17,23 +17,27 @@
 from tidegrade import core
 from tidegrade import ports
 
-#: SQLSTATE of a unique constraint that was violated.
+#: SQLSTATE of a violated unique constraint.
 UNIQUE_VIOLATION = '23505'
-#: SQLSTATE classes that mean the connection or server is going.
-GONE_CLASSES = ('08', '57P')
-#: Pause between looks at a replica that replays before promotion.
-REPLAY_PAUSE = 0.005
-#: Looks before the promotion is given up as failed.
-REPLAY_LOOKS = 1000
-#: Seconds libpq may take to connect (its least value is 2).
-CONNECT_SECONDS = 2
+#: SQLSTATE prefixes which mean that the connection is lost or that the server
+#: shuts down.
+CONNECTION_LOST_PREFIXES = ('08', '57P')
+#: Interval, in seconds, at which a promotion polls the replay position of the
+#: replica.
+REPLAY_POLL_INTERVAL_S = 0.005
+#: Number of polls after which the promotion fails.
+MAX_REPLAY_POLLS = 1000
+#: Time limit of libpq for connecting, in seconds; its least value is 2.
+CONNECT_TIMEOUT_S = 2
 
 
 @attrs.frozen
 class PostgresSettings:
-    """How to log in to endpoints; secrets stay out of the configuration.
+    """Credentials for endpoints; the configuration contains no secrets.
 
-    ``ssl_mode`` and ``ssl_root_cert`` are libpq's.
+    ``ssl_mode`` and ``ssl_root_cert`` are libpq's ``sslmode`` and
+    ``sslrootcert``. ``replication_user`` is the user under which replicas
+    connect to their primary.
     """
 
     user: str = 'tidegrade'
@@ -44,21 +48,21 @@
 
 
 #: Jobs that hold an advisory lock while they run.
-_LOCKING = (core.FenceJob, core.PromoteJob)
+_LOCKING_JOBS = (core.FenceJob, core.PromoteJob)
 
 
-#: Carries out one kind of job.
-_Runner = typing.Callable[
+#: A coroutine function that runs one kind of job.
+_JobRunner = typing.Callable[
     ..., typing.Coroutine[typing.Any, typing.Any, core.JobOutcome]
 ]
 
 
 class _Refused(Exception):
-    """A control job that its endpoint must not carry out."""
+    """A control job that the endpoint must not run."""
 
 
 class PostgresEndpoints:
-    """Opens connections with one login and application name."""
+    """Opens connections that share a login and an application name."""
 
     def __init__(self, cfg: PostgresSettings, proxy_id: str) -> None:
         self._cfg = cfg
@@ -67,14 +71,17 @@
     async def connect(
         self, endpoint: config.Endpoint, group: config.Group, tenant: str
     ) -> result.Result[ports.EndpointConn, ports.ConnectProblem]:
-        """Open a connection to an endpoint of a group, for all tenants."""
+        """Return a new connection to an endpoint of a group.
+
+        The connection serves all tenants, so that ``tenant`` is not used.
+        """
         options: dict[str, typing.Any] = {
             'host': endpoint.host,
             'port': endpoint.port,
             'dbname': group.database,
             'user': self._cfg.user,
             'application_name': self._proxy_id,
-            'connect_timeout': CONNECT_SECONDS,
+            'connect_timeout': CONNECT_TIMEOUT_S,
             'sslmode': self._cfg.ssl_mode,
             'gssencmode': 'disable',
         }
@@ -102,7 +109,7 @@
 
 
 class PostgresConn:
-    """One connection; it runs one job at a time."""
+    """A connection to an endpoint, which runs one job at a time."""
 
     def __init__(
         self,
@@ -114,7 +121,7 @@
         self._group = group
         self._cfg = cfg
         self._socket = socket.socket(fileno=os.dup(conn.fileno()))
-        self._jobs: dict[type, _Runner] = {
+        self._jobs: dict[type, _JobRunner] = {
             core.StatusJob: self._status,
             core.ReadJob: self._read,
             core.StartJob: self._start,
@@ -128,26 +135,26 @@
         }
 
     async def run(self, job: core.Job) -> core.JobOutcome:
-        """Carry out a job; a failure is a value."""
+        """Run a job; a failure is returned, not raised."""
         try:
             return await self._jobs[type(job)](job)
         except psycopg.Error as exc:
             failed = await self._failed(exc)
-            if isinstance(job, _LOCKING):
-                # The end of the connection frees the advisory lock.
+            if isinstance(job, _LOCKING_JOBS):
+                # Closing the connection releases the advisory lock.
                 return attrs.evolve(failed, usable=False)
             return failed
         except _Refused as exc:
             return core.JobFailed(core.Failure.REFUSED, str(exc))
 
     def abort(self) -> None:
-        """Cut the connection at once; a running job then ends as lost."""
-        # The other side may have been faster.
+        """Shut down the connection at once; a running job fails as lost."""
+        # The endpoint may have closed the connection already.
         with contextlib.suppress(OSError):
             self._socket.shutdown(socket.SHUT_RDWR)
 
     async def close(self) -> None:
-        """Free what the connection holds."""
+        """Close the connection and release its descriptors."""
         self._socket.close()
         await self._conn.close()
 
@@ -156,14 +163,14 @@
     async def _failed(self, exc: psycopg.Error) -> core.JobFailed:
         state = exc.sqlstate or ''
         broken = self._conn.broken or self._conn.closed
-        if broken or not state or state.startswith(GONE_CLASSES):
+        if broken or not state or state.startswith(CONNECTION_LOST_PREFIXES):
             return core.JobFailed(core.Failure.LOST, str(exc), state)
-        usable = await self._clean()
+        usable = await self._reset()
         failure = core.Failure.STATEMENT if usable else core.Failure.LOST
         return core.JobFailed(failure, str(exc), state, usable)
 
-    async def _clean(self) -> bool:
-        """Roll back whatever is open; tell if the connection is sound."""
+    async def _reset(self) -> bool:
+        """Roll back an open transaction; return whether none is open now."""
         status = self._conn.info.transaction_status
         try:
             if status != pq.TransactionStatus.IDLE:
@@ -178,7 +185,7 @@
     async def _send(
         self, statements: tuple[core.Statement, ...]
     ) -> list[psycopg.AsyncCursor]:
-        """Execute statements; in a pipeline, results come at its end."""
+        """Execute statements; in a pipeline, results arrive when it ends."""
         return [
             await self._conn.execute(stmt.sql, stmt.params or None)
             for stmt in statements
@@ -190,15 +197,15 @@
         return tuple([await _result_set(cur) for cur in cursors])
 
     async def _too_large(self) -> core.JobFailed:
-        usable = await self._clean()
+        usable = await self._reset()
         limit = self._group.max_result_bytes
-        detail = f'the result is over {limit} bytes'
+        detail = f'the result exceeds {limit} bytes'
         return core.JobFailed(core.Failure.TOO_LARGE, detail, usable=usable)
 
     def _over_limit(self, results: tuple[core.ResultSet, ...]) -> bool:
         return _results.size_of(results) > self._group.max_result_bytes
 
-    # Jobs of callers ------------------------------------------------------
+    # Jobs for callers -----------------------------------------------------
 
     async def _status(self, job: core.StatusJob) -> core.JobOutcome:
         cur = await self._conn.execute(sql.STATUS)
@@ -242,7 +249,7 @@
         status: psycopg.AsyncCursor,
         cursors: list[psycopg.AsyncCursor],
     ) -> core.JobOutcome:
-        """Check that the transaction is still the one that was begun."""
+        """Return the results if the transaction is still open."""
         if self._conn.info.transaction_status != (
             pq.TransactionStatus.INTRANS
         ):
@@ -254,18 +261,20 @@
         return core.JobDone(await _report(status), results)
 
     async def _replay(self, job: core.StartJob) -> core.JobOutcome:
-        """Give the results kept by the request that used the key."""
-        if not await self._clean():
+        """Return the results stored by the request that first used the key."""
+        if not await self._reset():
             return core.JobFailed(core.Failure.LOST)
         async with self._conn.pipeline():
             found = await self._conn.execute(sql.FIND_KEY, (job.key,))
             status = await self._conn.execute(sql.STATUS)
         row = await found.fetchone()
         if row is None:
-            # The other request rolled back in the meantime.
+            # The request that used the key has rolled back since.
             return core.JobFailed(core.Failure.LOST, usable=True)
         if row[0] != job.fingerprint:
-            detail = 'the key belongs to a request with another content'
+            detail = (
+                'the idempotency key belongs to a request with other content'
+            )
             return core.JobFailed(core.Failure.KEY_REUSED, detail, usable=True)
         report = await _report(status)
         return core.JobDone(
@@ -287,7 +296,7 @@
             async with self._conn.pipeline():
                 if job.key is not None:
                     kept = _results.kept(job.results)
-                    await self._conn.execute(sql.KEEP_RESULT, (kept, job.key))
+                    await self._conn.execute(sql.STORE_RESULT, (kept, job.key))
                 commit = await self._conn.execute('COMMIT')
                 status = await self._conn.execute(sql.STATUS)
         except psycopg.Error as exc:
@@ -295,7 +304,7 @@
                 return core.JobFailed(core.Failure.LOST, str(exc))
             raise
         if commit.statusmessage != 'COMMIT':
-            detail = 'the endpoint rolled the transaction back'
+            detail = 'the endpoint rolled back the transaction'
             return core.JobFailed(core.Failure.STATEMENT, detail, usable=True)
         report = await _report(status)
         return core.JobDone(report, after_lsn=report.lsn)
@@ -304,19 +313,19 @@
         await self._conn.execute('ROLLBACK')
         return await self._status(core.StatusJob())
 
-    # Jobs of supervisors --------------------------------------------------
+    # Jobs for supervision -------------------------------------------------
 
     async def _setup(self, job: core.SetupJob) -> core.JobOutcome:
         for statement in sql.SETUP:
             await self._conn.execute(statement)
-        await self._conn.execute(sql.MARK_TERM, (job.term, 0))
+        await self._conn.execute(sql.INSERT_TERM, (job.term, 0))
         return await self._status(core.StatusJob())
 
     async def _fence(self, job: core.FenceJob) -> core.JobOutcome:
         await self._conn.execute(sql.LOCK)
         report = await _report(await self._conn.execute(sql.STATUS))
         if (report.promised or 0) < job.term:
-            await self._conn.execute(sql.set_promise(job.term))
+            await self._conn.execute(sql.set_promised_term(job.term))
             await self._conn.execute(sql.RELOAD)
         await self._conn.execute(sql.UNLOCK)
         return await self._status(core.StatusJob())
@@ -330,7 +339,7 @@
             fork = await self._leave_recovery()
         else:
             fork = core.NO_LOSS if job.reelected else report.lsn
-        await self._conn.execute(sql.MARK_TERM, (job.term, fork))
+        await self._conn.execute(sql.INSERT_TERM, (job.term, fork))
         cur = await self._conn.execute(sql.FORK_AFTER, (job.former_term,))
         kept = await cur.fetchone()
         await self._conn.execute(sql.UNLOCK)
@@ -341,10 +350,14 @@
         )
 
     async def _leave_recovery(self) -> int:
-        """Detach, replay what was received, promote; give the fork."""
+        """Promote a replica and return the position at which it forks.
+
+        The replica is detached from its upstream first and replays all WAL
+        that it has received.
+        """
         await self._conn.execute(sql.set_upstream(''))
         await self._conn.execute(sql.RELOAD)
-        for _ in range(REPLAY_LOOKS):
+        for _ in range(MAX_REPLAY_POLLS):
             cur = await self._conn.execute(sql.RECEIVED_AND_REPLAYED)
             row = await cur.fetchone()
             assert row is not None
@@ -352,8 +365,8 @@
             if replayed >= received:
                 await self._conn.execute(sql.PROMOTE)
                 return replayed
-            await anyio.sleep(REPLAY_PAUSE)
-        raise _Refused('the replica did not finish replaying')
+            await anyio.sleep(REPLAY_POLL_INTERVAL_S)
+        raise _Refused('the replica did not finish its replay in time')
 
     async def _follow(self, job: core.FollowJob) -> core.JobOutcome:
         conninfo = (
--- a/src/tidegrade/adapters/_postgres_sql.py
+++ b/src/tidegrade/adapters/_postgres_sql.py
@@ -1,17 +1,19 @@
-"""The SQL that the proxy itself sends to endpoints."""
+"""SQL statements that the proxy sends to endpoints for its own use."""
 
-#: Names of the tables that the proxy keeps in each group's database.
+#: Names of the tables that the proxy maintains in the database of each group.
 TERM_TABLE = 'tidegrade_term'
 KEY_TABLE = 'tidegrade_key'
 
-#: Name of the server setting that holds the endpoint's promise.
+#: Name of the server setting that stores the promised term of an endpoint.
 PROMISE_SETTING = 'tidegrade.promised_term'
 
-#: Advisory lock held while a promise is raised or a promotion is made.
+#: Advisory lock held while the promised term is raised or the endpoint is
+#: promoted.
 CONTROL_LOCK = 7_495_031
 
-#: The endpoint's report. The marker and the promise come with positions,
-#: read before the statements of the same transaction.
+#: The status report of an endpoint. The newest term and the promised term are
+#: read together with the WAL positions, before the other statements of the
+#: same transaction.
 STATUS = f"""
 SELECT pg_is_in_recovery(),
   CASE WHEN pg_is_in_recovery() THEN pg_last_wal_replay_lsn()
@@ -39,14 +41,14 @@
     ' (key text PRIMARY KEY, fingerprint text NOT NULL, result text)',
 )
 
-MARK_TERM = (
+INSERT_TERM = (
     f'INSERT INTO {TERM_TABLE} (term, fork_lsn) VALUES ($1, $2)'
     ' ON CONFLICT (term) DO NOTHING'
 )
 FORK_AFTER = f'SELECT min(fork_lsn) FROM {TERM_TABLE} WHERE term > $1'
 
 INSERT_KEY = f'INSERT INTO {KEY_TABLE} (key, fingerprint) VALUES ($1, $2)'
-KEEP_RESULT = f'UPDATE {KEY_TABLE} SET result = $1 WHERE key = $2'
+STORE_RESULT = f'UPDATE {KEY_TABLE} SET result = $1 WHERE key = $2'
 FIND_KEY = f'SELECT fingerprint, result FROM {KEY_TABLE} WHERE key = $1'
 
 LOCK = f'SELECT pg_advisory_lock({CONTROL_LOCK})'
@@ -55,19 +57,25 @@
 PROMOTE = 'SELECT pg_promote(true, 30)'
 
 
-def set_promise(term: int) -> str:
-    """Give the statement that raises the endpoint's promise."""
+def set_promised_term(term: int) -> str:
+    """Return the statement that sets the promised term of an endpoint."""
     return f"ALTER SYSTEM SET {PROMISE_SETTING} = '{term:d}'"
 
 
 def set_upstream(conninfo: str) -> str:
-    """Give the statement that makes a replica follow an address."""
+    """Return the statement that sets the upstream of a replica.
+
+    An empty ``conninfo`` detaches the replica.
+    """
     quoted = conninfo.replace("'", "''")
     return f"ALTER SYSTEM SET primary_conninfo = '{quoted}'"
 
 
 def parse_lsn(text: str | None) -> int:
-    """Give the number behind a position such as ``16/B374D848``."""
+    """Return the number of a WAL position such as ``16/B374D848``.
+
+    No position is 0.
+    """
     if not text:
         return 0
     high, _, low = str(text).partition('/')
--- a/tests/adapters/test_http_server.py
+++ b/tests/adapters/test_http_server.py
@@ -1,4 +1,4 @@
-"""Limits of the HTTP server itself."""
+"""Tests of the limits of the HTTP server."""
 
 import anyio
 import pytest
@@ -40,7 +40,7 @@
         server.should_exit = True
 
 
-async def test_a_draining_server_ends_connections_with_answers():
+async def test_a_draining_server_closes_connections_with_responses():
     draining = False
     app = _http_server.CloseWhileDraining(hello, lambda: draining)
     sent = []
@@ -55,20 +55,20 @@
     assert [m['headers'] for m in starts] == [[], [(b'connection', b'close')]]
 
 
-async def test_a_head_that_trickles_in_is_cut_off(port):
+async def test_a_connection_with_slow_headers_is_closed(port):
     async with await anyio.connect_tcp('127.0.0.1', port) as stream:
         await stream.send(b'GET / HTTP/1.1\r\nHost: x\r\n')
         with pytest.raises(anyio.EndOfStream), anyio.fail_after(30):
             await stream.receive()
 
 
-async def test_a_silent_connection_is_cut_off(port):
+async def test_a_connection_without_a_request_is_closed(port):
     async with await anyio.connect_tcp('127.0.0.1', port) as stream:
         with pytest.raises(anyio.EndOfStream), anyio.fail_after(30):
             await stream.receive()
 
 
-async def test_a_connection_lives_on_after_a_whole_request(port):
+async def test_a_connection_stays_open_after_a_whole_request(port):
     async with await anyio.connect_tcp('127.0.0.1', port) as stream:
         for _ in range(3):
             await stream.send(b'GET / HTTP/1.1\r\nHost: x\r\n\r\n')
