--- a/src/tidegrade/adapters/_clock.py
+++ b/src/tidegrade/adapters/_clock.py
@@ -3,7 +3,7 @@
 import time
 
 
-class BootClock:
+class MonotonicClock:
     """A monotonic clock that also advances while the VM is suspended.
 
     It counts seconds from the start of the machine.
--- a/src/tidegrade/adapters/_http_server.py
+++ b/src/tidegrade/adapters/_http_server.py
@@ -11,7 +11,7 @@
 from uvicorn.protocols.http import httptools_impl
 
 
-def protocol_with(header_timeout: float) -> type:
+def protocol_with_header_timeout(header_timeout: float) -> type:
     """Return a protocol class that closes connections with slow headers.
 
     ``header_timeout`` is in seconds. uvicorn limits the time between
--- a/src/tidegrade/adapters/_keys.py
+++ b/src/tidegrade/adapters/_keys.py
@@ -11,7 +11,7 @@
 BEARER = 'Bearer '
 
 
-def key_in(authorization: str | None) -> str | None:
+def bearer_key(authorization: str | None) -> str | None:
     """Return the key in the value of an Authorization header, or None."""
     if not authorization or not authorization.startswith(BEARER):
         return None
@@ -27,7 +27,7 @@
     hash is compared, each in constant time, so that the time taken reveals
     nothing about the keys.
     """
-    key = key_in(authorization)
+    key = bearer_key(authorization)
     if key is None:
         return None
     presented_hash = tenants.key_hash(key)
--- a/src/tidegrade/adapters/_metrics.py
+++ b/src/tidegrade/adapters/_metrics.py
@@ -57,7 +57,7 @@
             'tidegrade_group_waiting',
             'Requests that wait for a connection, by group.',
         )
-        self.callers = self._gauge(
+        self.requests_in_flight = self._gauge(
             'tidegrade_requests_in_flight', 'Requests not yet answered.'
         )
 
--- a/src/tidegrade/http_proxy/_proxy.py
+++ b/src/tidegrade/http_proxy/_proxy.py
@@ -57,7 +57,7 @@
             proxy_id=proxy_id,
             domain=cfg.domain,
             peers=cfg.peers,
-            clock=_clock.BootClock(),
+            clock=_clock.MonotonicClock(),
             endpoints=_postgres.PostgresEndpoints(cfg.postgres, cfg.name),
             table=self._platform,
             rng=rng,
@@ -299,7 +299,9 @@
             self._app(),
             host=cfg.host,
             port=cfg.port,
-            http=_http_server.protocol_with(cfg.header_timeout_s),
+            http=_http_server.protocol_with_header_timeout(
+                cfg.header_timeout_s
+            ),
             ws='none',
             lifespan='off',
             log_config=None,
@@ -364,7 +366,7 @@
     async def _update_gauges(self) -> None:
         metrics = self._deps.metrics
         while True:
-            metrics.callers.set({}, self._service.in_flight)
+            metrics.requests_in_flight.set({}, self._service.in_flight)
             for key, group in self._service.groups.items():
                 labels = {'site': key.site, 'group': key.group}
                 machine = group.machine
--- a/src/tidegrade/http_proxy/_service.py
+++ b/src/tidegrade/http_proxy/_service.py
@@ -132,7 +132,7 @@
     # Checks ---------------------------------------------------------------
 
     def _tenant_of(self, call: ports.Call) -> tenants.Tenant | None:
-        key = _keys.key_in(call.authorization)
+        key = _keys.bearer_key(call.authorization)
         if key is None:
             return None
         return self.tenants.holder_of(call.site, tenants.key_hash(key))
--- a/src/tidegrade/net/__init__.py
+++ b/src/tidegrade/net/__init__.py
@@ -1,9 +1,15 @@
 """Socket operations that the streams of the event loop do not offer."""
 
+from tidegrade.net._keepalive import CALLER_SILENCE_TIMEOUT_S
+from tidegrade.net._keepalive import enable_keepalive
+from tidegrade.net._keepalive import SILENCE_TIMEOUT_S
 from tidegrade.net._shutdown import drop_unsent
 from tidegrade.net._shutdown import shut_down
-from tidegrade.net._silence import CALLER_SILENCE
-from tidegrade.net._silence import SILENCE
-from tidegrade.net._silence import watch
 
-__all__ = ['CALLER_SILENCE', 'SILENCE', 'drop_unsent', 'shut_down', 'watch']
+__all__ = [
+    'CALLER_SILENCE_TIMEOUT_S',
+    'SILENCE_TIMEOUT_S',
+    'drop_unsent',
+    'enable_keepalive',
+    'shut_down',
+]
--- a/src/tidegrade/net/_silence.py
+++ b/src/tidegrade/net/_keepalive.py
@@ -14,11 +14,11 @@
 #: Silence, in seconds, after which a connection to a peer, an endpoint or the
 #: platform counts as lost. It covers many round trips and two retransmissions
 #: of a lost packet, which Linux sends after 200 and 400 ms.
-SILENCE = 1.0
+SILENCE_TIMEOUT_S = 1.0
 #: Silence, in seconds, after which a connection to a caller counts as lost.
 #: Callers may be slow to read, so that it is about as long as the longest
 #: time limit of a statement.
-CALLER_SILENCE = 10.0
+CALLER_SILENCE_TIMEOUT_S = 10.0
 #: Idle time before the first keepalive probe and between two probes, in
 #: seconds. It is the smallest value that the kernel accepts.
 PROBE_INTERVAL_S = 1
@@ -27,7 +27,9 @@
 MAX_UNANSWERED_PROBES = 2
 
 
-def watch(stream: anyio.abc.SocketStream, timeout: float = SILENCE) -> None:
+def enable_keepalive(
+    stream: anyio.abc.SocketStream, timeout: float = SILENCE_TIMEOUT_S
+) -> None:
     """Make the kernel end a connection whose remote host is silent.
 
     ``timeout`` is how long sent data may remain unacknowledged, in seconds;
--- a/src/tidegrade/peers/_links.py
+++ b/src/tidegrade/peers/_links.py
@@ -182,7 +182,7 @@
                 self._address.host, self._address.port
             )
         async with stream:
-            net.watch(stream)
+            net.enable_keepalive(stream)
             with anyio.fail_after(CONNECT_TIMEOUT):
                 frames = await _frames.open_frames(
                     stream, self._key, connects=True
--- a/src/tidegrade/peers/_server.py
+++ b/src/tidegrade/peers/_server.py
@@ -45,7 +45,7 @@
     async def _peer(self, stream: anyio.abc.SocketStream) -> None:
         async with stream, self._limit:
             try:
-                net.watch(stream)
+                net.enable_keepalive(stream)
                 with anyio.fail_after(OPEN_TIMEOUT):
                     frames = await _frames.open_frames(
                         stream, self._key, connects=False
--- a/tests/adapters/test_http_server.py
+++ b/tests/adapters/test_http_server.py
@@ -27,7 +27,7 @@
         hello,
         host='127.0.0.1',
         port=port,
-        http=_http_server.protocol_with(0.2),
+        http=_http_server.protocol_with_header_timeout(0.2),
         lifespan='off',
         log_config=None,
     )
--- a/tests/net/test_sockets.py
+++ b/tests/net/test_sockets.py
@@ -37,7 +37,7 @@
         tasks.cancel_scope.cancel()
 
 
-async def test_who_reads_a_connection_that_is_shut_down_is_told(pair):
+async def test_shut_down_ends_the_stream_at_both_ends(pair):
     """Guards against the use of uvloop's socket, which has no shutdown."""
     near, far = pair
 
@@ -62,13 +62,13 @@
 
 async def test_the_kernel_limits_unacknowledged_time(pair):
     near, _ = pair
-    net.watch(near)
+    net.enable_keepalive(near)
     sock = near.extra(anyio.abc.SocketAttribute.raw_socket)
     timeout = sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT)
-    assert timeout == int(net.SILENCE * 1000)
+    assert timeout == int(net.SILENCE_TIMEOUT_S * 1000)
 
 
-async def test_a_connection_that_has_ended_is_no_fault_of_ours(pair):
+async def test_a_connection_that_ended_while_opening_raises_oserror(pair):
     """Guards against a proxy that terminates when a peer terminates.
 
     A connection may end while it is being opened. uvloop then offers no
@@ -80,7 +80,7 @@
     await anyio.aclose_forcefully(near)
     await anyio.sleep(0.01)
     with pytest.raises(OSError):
-        net.watch(near)
+        net.enable_keepalive(near)
     net.shut_down(near)
 
 
@@ -93,7 +93,7 @@
         await far.receive()
 
 
-async def test_a_connection_that_has_ended_has_nothing_to_drop(pair):
+async def test_drop_unsent_ignores_an_ended_connection(pair):
     """Guards against a proxy that terminates as it abandons a failed call.
 
     A call fails because its connection ended, and the connection is then
@@ -101,7 +101,7 @@
     methods raise an error that is not an OSError.
     """
     near, _ = pair
-    net.watch(near)
+    net.enable_keepalive(near)
     await anyio.aclose_forcefully(near)
     await anyio.sleep(0.05)
     net.drop_unsent(near)
@@ -109,8 +109,8 @@
 
 async def test_an_ended_connection_raises_oserror(pair):
     near, _ = pair
-    net.watch(near)
+    net.enable_keepalive(near)
     await anyio.aclose_forcefully(near)
     await anyio.sleep(0.05)
     with pytest.raises(OSError):
-        net.watch(near)
+        net.enable_keepalive(near)
--- a/tests/platform/test_instances.py
+++ b/tests/platform/test_instances.py
@@ -40,7 +40,7 @@
         listener = await anyio.create_tcp_listener(local_host='127.0.0.1')
         port = listener.extra(anyio.abc.SocketAttribute.local_port)
         duties = _duties.Duties(
-            _settings.Address('127.0.0.1', 1), 'p', _clock.BootClock()
+            _settings.Address('127.0.0.1', 1), 'p', _clock.MonotonicClock()
         )
         instances = _instances.Instances('p', duties, lambda _: None)
         endpoint = config.Endpoint('127.0.0.1', port, 'x')
--- a/tests/session_proxy/test_first_primary.py
+++ b/tests/session_proxy/test_first_primary.py
@@ -69,7 +69,7 @@
         directory=None,
         door=None,
         pages=None,
-        clock=_clock.BootClock(),
+        clock=_clock.MonotonicClock(),
         traits=core.Traits(),
         read_settings=lambda: result.Err([]),
     )
