--- a/src/tidegrade/peers/_server.py
+++ b/src/tidegrade/peers/_server.py
@@ -49,7 +49,7 @@
     async def _accept(self, stream: anyio.abc.SocketStream) -> None:
         async with stream, self._limit:
             try:
-                net.watch(stream)
+                net.enable_keepalive(stream)
                 with anyio.fail_after(HANDSHAKE_TIMEOUT_S):
                     frames = await _frames.open_frames(
                         stream, self._key, connects=False
--- a/src/tidegrade/session_proxy/_drain.py
+++ b/src/tidegrade/session_proxy/_drain.py
@@ -41,7 +41,7 @@
         limit = cfg.grace_s * GRACE_SHARE
         await anyio.sleep(min(cfg.unready_s, limit / 2))
         self.closing = True
-        self._door.close_answered(True)
+        self._door.close_after_answers(True)
         left = limit - (self._clock.now() - started_at)
         with anyio.move_on_after(left - FINAL_CLOSE_S):
             await self._close_sessions()
@@ -50,13 +50,13 @@
         logs.write(
             logs.LogEvent.DOOR_CLOSED,
             after_ms=round((self._clock.now() - started_at) * 1000),
-            in_flight=self._door.close_resting(),
+            in_flight=self._door.close_idle(),
         )
         await anyio.sleep(CLOSE_CHECK_INTERVAL_S)
         with anyio.move_on_after(FINAL_CLOSE_S) as final:
             await self._close_sessions()
         if final.cancelled_caught:
-            still_open = self._door.close_resting()
+            still_open = self._door.close_idle()
             logs.write(logs.LogEvent.DRAIN_CUT, in_flight=still_open)
 
     async def _close_sessions(self) -> None:
@@ -64,5 +64,5 @@
 
         Requests that other proxies forwarded are waited for as well.
         """
-        while self._door.close_resting() or self._is_serving_others():
+        while self._door.close_idle() or self._is_serving_others():
             await anyio.sleep(CLOSE_CHECK_INTERVAL_S)
