--- a/src/tidegrade/http_proxy/__init__.py
+++ b/src/tidegrade/http_proxy/__init__.py
@@ -1,4 +1,4 @@
-"""The program before PostgreSQL, whose callers speak HTTP."""
+"""The proxy program that serves PostgreSQL to callers over HTTP."""
 
 import logging
 
@@ -10,14 +10,14 @@
 from tidegrade.http_proxy._settings import read_settings
 from tidegrade import logs
 
-#: Exit status of a process that stopped over a broken invariant.
+#: Exit status of a process that stopped because an invariant was broken.
 INVARIANT_EXIT = 70
 
 __all__ = ['INVARIANT_EXIT', 'ProxySettings', 'read_settings', 'run']
 
 
 def run(cfg: ProxySettings) -> int:
-    """Run a proxy to its end and give the exit status."""
+    """Run a proxy until it stops; return the exit status."""
     try:
         anyio.run(_run, cfg, backend_options={'use_uvloop': True})
     except BaseExceptionGroup as group:
--- a/src/tidegrade/http_proxy/_admin.py
+++ b/src/tidegrade/http_proxy/_admin.py
@@ -1,4 +1,4 @@
-"""Serves operators: applying files, history, status, drain."""
+"""Operators' requests: apply a configuration, history, status, drain."""
 
 from collections.abc import Callable
 import datetime
@@ -16,13 +16,14 @@
 from tidegrade import logs
 from tidegrade import ports
 
-#: Attempts at each step of an apply while the platform doesn't answer.
+#: Attempts at each step of an apply while the platform does not answer.
 APPLY_TRIES = 10
-APPLY_PAUSE = 0.2
+#: Pause between two of these attempts, in seconds.
+APPLY_PAUSE_S = 0.2
 
 
 class Admin:
-    """The operators' interface's inner side."""
+    """Implements the operators' interface, independent of HTTP."""
 
     def __init__(
         self,
@@ -40,19 +41,22 @@
         self.draining = False
 
     def operator_of(self, authorization: str) -> str | None:
-        """Give whose key this is, or None."""
+        """Return the name of the operator who holds this key, or None."""
         hashes = {**self._deps.cfg.operators, **self._service.doc.operators}
         return _keys.holder_of(authorization, hashes)
 
     def current(self) -> tuple[int, bytes]:
-        """Give the version in force and its document."""
+        """Return the version in force (0 if none) and its document."""
         held = self._configs.in_force
         if held is None:
             return 0, b''
         return held.ref.version, held.raw
 
     async def history(self) -> list[ports.HistoryEntry] | None:
-        """Give the accepted configurations; None if unreachable."""
+        """Return the accepted configurations.
+
+        The result is None if the platform's pointer can't be read.
+        """
         read = await self._read_pointer()
         if read is None:
             return None
@@ -60,7 +64,7 @@
         return pointer.history if pointer else []
 
     def drain(self) -> None:
-        """Begin a graceful shutdown."""
+        """Start a graceful shutdown."""
         self._drain()
 
     # Apply ----------------------------------------------------------------
@@ -68,17 +72,17 @@
     async def apply(
         self, order: ports.ApplyOrder, operator: str
     ) -> ports.Applied | ports.ApplyProblem:
-        """Have a file accepted as a whole, or not at all."""
+        """Apply a configuration file as a whole, or not at all."""
         read = _config_task.read_document(order.document)
         if read.is_err():
             return ports.ApplyProblem('invalid', tuple(read.unwrap_err()))
         sha256 = hashlib.sha256(order.document).hexdigest()
         if not await self._store(sha256, order.document):
             return _unavailable(unknown=False)
-        done = await self._point(order, operator, sha256)
-        if isinstance(done, ports.HistoryEntry):
-            return self._accepted(done, order)
-        return done
+        outcome = await self._write_pointer(order, operator, sha256)
+        if isinstance(outcome, ports.HistoryEntry):
+            return self._accepted(outcome, order)
+        return outcome
 
     async def _store(self, sha256: str, document: bytes) -> bool:
         name = _config_task.object_name(sha256)
@@ -86,26 +90,30 @@
             stored = await self._deps.objects.put(name, document)
             if stored.is_ok():
                 return True
-            await anyio.sleep(APPLY_PAUSE)
+            await anyio.sleep(APPLY_PAUSE_S)
         return False
 
-    async def _point(
+    async def _write_pointer(
         self, order: ports.ApplyOrder, operator: str, sha256: str
     ) -> ports.HistoryEntry | ports.ApplyProblem:
-        """Swing the pointer; a lost answer is settled by the apply's id."""
+        """Make the pointer name the new document.
+
+        If the answer to a write is lost, the next attempt searches the
+        history for the id of this apply to see whether it was written.
+        """
         unknown = False
         for _ in range(APPLY_TRIES):
             read = await self._read_pointer()
             if read is None:
-                await anyio.sleep(APPLY_PAUSE)
+                await anyio.sleep(APPLY_PAUSE_S)
                 continue
             pointer, tag = read
             earlier = pointer.find(order.apply_id) if pointer else None
             if earlier is not None:
                 return earlier
-            lost = self._lost_to(pointer, order)
-            if lost is not None:
-                return lost
+            conflict = self._conflict_with(pointer, order)
+            if conflict is not None:
+                return conflict
             entry = _entry(pointer, order, operator, sha256)
             changed = _pointer.Pointer([entry])
             if pointer is not None:
@@ -115,16 +123,16 @@
             )
             if written.is_ok():
                 return entry
-            # Either way the next round reads what the row says now.
+            # Whatever the problem was, the next attempt reads the row again.
             problem = written.unwrap_err()
             unknown = problem is ports.WriteProblem.UNKNOWN
-            await anyio.sleep(APPLY_PAUSE / 10)
+            await anyio.sleep(APPLY_PAUSE_S / 10)
         return _unavailable(unknown)
 
-    def _lost_to(
+    def _conflict_with(
         self, pointer: _pointer.Pointer | None, order: ports.ApplyOrder
     ) -> ports.ApplyProblem | None:
-        """Give the conflict if the file was based on another version."""
+        """Return the problem if the file is based on another version."""
         shown = pointer.newest.version if pointer else 0
         if shown < self._configs_version():
             return ports.ApplyProblem(
@@ -163,7 +171,7 @@
     async def _read_pointer(
         self,
     ) -> tuple[_pointer.Pointer | None, str | None] | None:
-        """Give the pointer and its tag; None if it can't be read."""
+        """Return the pointer and its tag; None if it can't be read."""
         answer = await self._deps.table.read(_rows.CONFIG)
         if answer.is_err():
             return None
@@ -178,7 +186,7 @@
     # Status ---------------------------------------------------------------
 
     def status(self) -> dict[str, object]:
-        """Give what this proxy knows, ready for JSON."""
+        """Return what this proxy knows, as values that JSON can hold."""
         peers = [
             {
                 'proxy': peer.beat.proxy,
--- a/src/tidegrade/http_proxy/_config_task.py
+++ b/src/tidegrade/http_proxy/_config_task.py
@@ -17,13 +17,16 @@
 from tidegrade import logs
 from tidegrade.peers import _messages as messages
 
-#: Pause after a content could not be had, in seconds.
-FETCH_PAUSE = 0.2
+#: Pause after a failed attempt to fetch a document, in seconds.
+FETCH_PAUSE_S = 0.2
 
 
 @attrs.frozen
 class InForce:
-    """A configuration with its content, as JSON and as checked."""
+    """A configuration in force.
+
+    ``raw`` is its document as JSON, ``doc`` the same document, checked.
+    """
 
     ref: core.ConfigRef
     raw: bytes
@@ -31,18 +34,18 @@
 
 
 #: Called with each configuration that comes into force.
-Adopted = Callable[[InForce], None]
+AdoptionCallback = Callable[[InForce], None]
 
 
 def object_name(sha256: str) -> str:
-    """Give the name under which a document is stored."""
+    """Return the name under which the platform stores a document."""
     return f'config-{sha256}'
 
 
 def read_document(
     raw: bytes,
 ) -> result.Result[config.Document, list[str]]:
-    """Read and check a document; the errors name paths."""
+    """Read and check a document; each error names the path at fault."""
     read = _structure.structure(raw, config.Document)
     if read.is_err():
         return read
@@ -51,46 +54,55 @@
 
 
 class ConfigTask:
-    """Reads the pointer, hears of versions from peers, fetches content."""
+    """Keeps the newest accepted configuration in force.
+
+    The task polls the platform's pointer, records the versions that peers
+    report, and fetches the document of a newer version from the platform
+    or from a peer.
+    """
 
     def __init__(
         self,
         deps: _deps.HttpDeps,
         peers: _peers_task.PeersTask,
-        adopted: Adopted,
+        on_adopted: AdoptionCallback,
     ) -> None:
         self._deps = deps
         self._peers = peers
-        self._adopted = adopted
+        self._on_adopted = on_adopted
         self._adoption = core.Adoption()
         self._in_force: InForce | None = None
-        self._heard = anyio.Event()
+        self._wanted_changed = anyio.Event()
         self._reachable: bool | None = None
 
     @property
     def in_force(self) -> InForce | None:
-        """Give the configuration in force."""
+        """The configuration in force; None before the first one."""
         return self._in_force
 
     @property
     def platform_reachable(self) -> bool:
-        """Tell whether the last read of the platform was answered."""
+        """Whether the platform answered the last read of the pointer."""
         return bool(self._reachable)
 
     async def run(self) -> None:
-        """Run until cancelled."""
+        """Poll the pointer and fetch documents until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._poll)
             tasks.start_soon(self._fetch_wanted)
 
-    def heard(self, version: int) -> None:
-        """Take in the version that a peer has in force."""
+    def record_peer_version(self, version: int) -> None:
+        """Record the version that a peer reports as in force."""
         ref = core.ConfigRef(version, '')
         if self._adoption.record_ref(ref):
-            self._heard.set()
+            self._wanted_changed.set()
 
     def offer(self, ref: core.ConfigRef, raw: bytes) -> bool:
-        """Take in a content; tell whether it is genuine and usable."""
+        """Adopt a document if it is newer than the one in force.
+
+        Return False if its hash differs from the reference or if the
+        document is invalid; an older valid document gives True.
+        """
         if hashlib.sha256(raw).hexdigest() != ref.sha256:
             return False
         read = read_document(raw)
@@ -105,11 +117,14 @@
             self._in_force = InForce(ref, raw, read.unwrap())
             logs.write(logs.LogEvent.CONFIG_ADOPTED, version=ref.version)
             self._deps.metrics.config_version.set({}, ref.version)
-            self._adopted(self._in_force)
+            self._on_adopted(self._in_force)
         return True
 
     def answer(self, ask: messages.AskConfig) -> messages.ConfigContent:
-        """Answer a peer that asks for content."""
+        """Answer a peer that asks for a document.
+
+        The answer is empty if this proxy holds no version or an older one.
+        """
         held = self._in_force
         if held is None or held.ref.version < ask.ref.version:
             return messages.ConfigContent(ask.ref, b'')
@@ -124,12 +139,12 @@
 
     async def _read_pointer(self) -> None:
         answer = await self._deps.table.read(_rows.CONFIG)
-        self._note_reachable(answer.is_ok())
+        self._set_reachable(answer.is_ok())
         if answer.is_err():
             return
         found = answer.unwrap()
         if found is None:
-            self._note_stored(None)
+            self._check_stored(None)
             return
         read = _pointer.decode_pointer(found.value)
         if read.is_err():
@@ -138,11 +153,11 @@
             )
             return
         pointer = read.unwrap()
-        self._note_stored(pointer.ref)
+        self._check_stored(pointer.ref)
         if self._adoption.record_ref(pointer.ref):
-            self._heard.set()
+            self._wanted_changed.set()
 
-    def _note_stored(self, ref: core.ConfigRef | None) -> None:
+    def _check_stored(self, ref: core.ConfigRef | None) -> None:
         before = self._adoption.store_regressions
         self._adoption.check_stored(ref)
         if self._adoption.store_regressions == before + 1 and before == 0:
@@ -152,7 +167,7 @@
                 in_force=self._adoption.version,
             )
 
-    def _note_reachable(self, reachable: bool) -> None:
+    def _set_reachable(self, reachable: bool) -> None:
         if reachable == self._reachable:
             return
         if self._reachable is not None or not reachable:
@@ -162,17 +177,17 @@
             logs.write(event)
         self._reachable = reachable
 
-    # Fetching content -----------------------------------------------------
+    # Fetching documents ---------------------------------------------------
 
     async def _fetch_wanted(self) -> None:
         while True:
             wanted = self._adoption.wanted
             if wanted is None:
-                await self._heard.wait()
-                self._heard = anyio.Event()
+                await self._wanted_changed.wait()
+                self._wanted_changed = anyio.Event()
                 continue
             if not await self._fetch(wanted):
-                await anyio.sleep(FETCH_PAUSE)
+                await anyio.sleep(FETCH_PAUSE_S)
 
     async def _fetch(self, wanted: core.ConfigRef) -> bool:
         if wanted.sha256 and await self._fetch_stored(wanted):
--- a/src/tidegrade/http_proxy/_deps.py
+++ b/src/tidegrade/http_proxy/_deps.py
@@ -1,4 +1,4 @@
-"""What the parts of the HTTP program share."""
+"""Dependencies that the parts of the HTTP program share."""
 
 import attrs
 
@@ -10,7 +10,7 @@
 
 @attrs.frozen
 class HttpDeps:
-    """What the shared tasks get, and what only this program needs."""
+    """Dependencies of the shared tasks, and those of this program only."""
 
     shared: _deps.Deps
     cfg: _settings.ProxySettings
@@ -20,15 +20,15 @@
 
     @property
     def proxy_id(self) -> str:
-        """Name this run of the proxy."""
+        """The id of this run of the proxy."""
         return self.shared.proxy_id
 
     @property
     def clock(self) -> ports.Clock:
-        """Give the clock that deadlines are measured with."""
+        """The clock that deadlines are measured with."""
         return self.shared.clock
 
     @property
     def table(self) -> ports.Table:
-        """Give the platform's table."""
+        """The platform's table."""
         return self.shared.table
--- a/src/tidegrade/http_proxy/_proxy.py
+++ b/src/tidegrade/http_proxy/_proxy.py
@@ -1,4 +1,4 @@
-"""Wires a proxy from its settings and runs it to its end."""
+"""Builds a proxy from its settings and runs it until it stops."""
 
 import os
 import random
@@ -39,14 +39,14 @@
 from tidegrade.peers import _messages as messages
 from tidegrade import ports
 
-#: Pause between looks whether a drain is finished, in seconds.
-DRAIN_LOOK = 0.02
+#: Pause between checks whether a drain is finished, in seconds.
+DRAIN_POLL_S = 0.02
 #: Pause between updates of gauges, in seconds.
-GAUGE_INTERVAL = 1.0
+GAUGE_INTERVAL_S = 1.0
 
 
 class Proxy:
-    """One run of the daemon."""
+    """One run of the HTTP proxy."""
 
     def __init__(self, cfg: _settings.ProxySettings) -> None:
         self._cfg = cfg
@@ -69,14 +69,14 @@
             vm_list=self._platform,
             metrics=_metrics.Metrics(),
         )
-        self._peers = _peers_task.PeersTask(self._shared, self._peer_says)
+        self._peers = _peers_task.PeersTask(self._shared, self._handle_message)
         self._peers.make_heartbeat = self._heartbeat
         self._quotas = _quotas.Quotas(
             _roster.ProxyIdentity(proxy_id, cfg.domain),
             self._peers,
             self._shared.clock,
             lambda: self._service.version,
-            lambda name: self._service.tenants.named(name),
+            lambda name: self._service.tenants.by_full_name(name),
             draining=lambda: self._admin.draining,
         )
         self._service = _service.Service(self._deps, self._peers, self._quotas)
@@ -84,7 +84,7 @@
             self._deps, self._peers, self._adopt
         )
         self._registration = _registration.Registration(
-            self._shared, self._registered
+            self._shared, self._on_registered
         )
         self._admin = _admin.Admin(
             self._deps,
@@ -96,11 +96,11 @@
         self._is_registered = False
         self._leaving: frozenset[tuple[str, int]] = frozenset()
         self._drain = anyio.Event()
-        self._served = anyio.Event()
+        self._server_stopped = anyio.Event()
         self._server = _http_server.Server(self._server_config())
         self._tasks: anyio.abc.TaskGroup | None = None
 
-    # Life -----------------------------------------------------------------
+    # Start and shutdown ---------------------------------------------------
 
     async def run(self) -> None:
         """Serve until a signal or an operator asks to drain."""
@@ -117,14 +117,14 @@
             tasks.start_soon(self._serve_http)
             logs.write(logs.LogEvent.STARTED)
             await self._drain.wait()
-            await self._drained()
+            await self._finish_drain()
             tasks.cancel_scope.cancel()
         await self._platform.aclose()
         logs.write(logs.LogEvent.STOPPED)
 
     async def _serve_http(self) -> None:
         await self._server.serve()
-        self._served.set()
+        self._server_stopped.set()
 
     def _start_drain(self) -> None:
         self._admin.draining = True
@@ -136,27 +136,28 @@
         ) as signals:
             async for _ in signals:
                 if self._drain.is_set():
-                    # A second signal ends the wait.
+                    # On a second signal the process exits without waiting for
+                    # the drain.
                     os._exit(1)
                 self._start_drain()
 
-    async def _drained(self) -> None:
-        """Finish what is in flight, then hand back what is held."""
+    async def _finish_drain(self) -> None:
+        """Finish work in flight; give up permissions and registration."""
         logs.write(logs.LogEvent.DRAINING)
         for group in self._service.groups.values():
             group.post(core.DrainStarted())
         with anyio.move_on_after(self._cfg.drain_limit_s) as scope:
             await anyio.sleep(self._cfg.unready_s)
             while self._busy():
-                await anyio.sleep(DRAIN_LOOK)
+                await anyio.sleep(DRAIN_POLL_S)
         if scope.cancelled_caught:
             logs.write(
                 logs.LogEvent.DRAIN_CUT, in_flight=self._service.in_flight
             )
-        # The server ends by itself once its last answers have left.
+        # The server stops after it has sent its last responses.
         self._server.should_exit = True
         with anyio.move_on_after(self._cfg.drain_limit_s):
-            await self._served.wait()
+            await self._server_stopped.wait()
         for group in self._service.groups.values():
             group.give_up(2**62)
         with anyio.move_on_after(self._cfg.platform.timeout_s):
@@ -189,7 +190,7 @@
             service.groups[key].set_config(
                 group, held.ref.version, held.doc.max_proxies
             )
-        self._tell_leaving()
+        self._post_leaving_endpoints()
 
     def _start_group(self, key, group, max_proxies: int) -> None:
         task = _group_task.GroupTask(
@@ -201,7 +202,7 @@
         if self._is_registered:
             task.post(core.Registered(True))
 
-    def _registered(self) -> None:
+    def _on_registered(self) -> None:
         self._is_registered = True
         for group in self._service.groups.values():
             group.post(core.Registered(True))
@@ -210,10 +211,10 @@
         while True:
             listed = await self._deps.vm_list.vms()
             if listed.is_ok():
-                self._learn_vms(listed.unwrap())
+                self._record_vms(listed.unwrap())
             await anyio.sleep(self._cfg.vm_poll_s)
 
-    def _learn_vms(self, vms: list[ports.Vm]) -> None:
+    def _record_vms(self, vms: list[ports.Vm]) -> None:
         self._peers.learn_vms(vms)
         leaving = frozenset(
             (vm.host, vm.port)
@@ -226,9 +227,9 @@
                 logs.LogEvent.ENDPOINT_LEAVING,
                 endpoints=[f'{host}:{port}' for host, port in leaving],
             )
-            self._tell_leaving()
+            self._post_leaving_endpoints()
 
-    def _tell_leaving(self) -> None:
+    def _post_leaving_endpoints(self) -> None:
         for group in self._service.groups.values():
             names = frozenset(
                 name
@@ -252,24 +253,24 @@
             ),
         )
 
-    async def _peer_says(
+    async def _handle_message(
         self, body: messages.PeerBody
     ) -> messages.PeerBody | None:
         if isinstance(body, messages.Heartbeat):
             self._peers.receive_heartbeat(body)
-            self._configs.heard(body.config_version)
+            self._configs.record_peer_version(body.config_version)
         elif isinstance(body, messages.Digest):
             self._peers.receive_digest(body)
             for aged in body.news:
-                self._configs.heard(aged.beat.config_version)
+                self._configs.record_peer_version(aged.beat.config_version)
         elif isinstance(body, messages.GiveUp):
             return self._give_up(body)
         elif isinstance(body, messages.RowNews):
-            self._row_news(body)
+            self._receive_row(body)
         elif isinstance(body, messages.AskConfig):
             return self._configs.answer(body)
         elif isinstance(body, messages.Forward):
-            answer = await self._service.forwarded(body)
+            answer = await self._service.serve_forwarded(body)
             return messages.Forwarded(answer)
         elif isinstance(body, messages.AskQuota):
             return self._quotas.answer(body)
@@ -282,10 +283,11 @@
         if group is not None:
             group.give_up(body.below)
             return messages.GaveUp(body.key, body.below, self._deps.proxy_id)
-        # Without the group there is no permission, but it may come.
+        # Without the group this proxy holds no permission for it now, but
+        # it may get one later, so it must not answer that it gave it up.
         return None
 
-    def _row_news(self, body: messages.RowNews) -> None:
+    def _receive_row(self, body: messages.RowNews) -> None:
         group = self._service.groups.get(body.key)
         row = _rows.decode_row(body.row)
         if group is not None and row.is_ok():
@@ -328,7 +330,7 @@
             self._service, self._deps.clock, limits
         )
         operators = _http_operators.OperatorRoutes(self._admin, limits)
-        served = applications.Starlette(
+        app = applications.Starlette(
             routes=[
                 *callers.routes(),
                 *operators.routes(),
@@ -345,7 +347,7 @@
             },
         )
         return _http_server.CloseWhileDraining(
-            served, lambda: self._admin.draining
+            app, lambda: self._admin.draining
         )
 
     async def _live(self, req: requests.Request) -> responses.Response:
@@ -378,4 +380,4 @@
                         {**labels, 'endpoint': name},
                         machine.conn_count(name),
                     )
-            await anyio.sleep(GAUGE_INTERVAL)
+            await anyio.sleep(GAUGE_INTERVAL_S)
--- a/src/tidegrade/http_proxy/_service.py
+++ b/src/tidegrade/http_proxy/_service.py
@@ -1,4 +1,4 @@
-"""Serves callers: who may, what exactly is asked, and where it goes."""
+"""Callers' requests: authentication, checks, and routing to a group."""
 
 import hashlib
 import itertools
@@ -20,19 +20,25 @@
 from tidegrade import ports
 from tidegrade import tenants
 
-#: Kinds that run in a transaction opened earlier.
+#: Kinds of request that run in a transaction that is already open.
 TXN_KINDS = (core.Kind.EXECUTE, core.Kind.COMMIT, core.Kind.ROLLBACK)
-#: Kinds whose success is the acknowledgement of a write.
-ACKNOWLEDGING = (core.Kind.WRITE, core.Kind.COMMIT)
-#: When to come back to a proxy without a configuration, in seconds.
-CONFIG_RETRY = 1.0
-#: When to come back after a fault in reaching another proxy, in seconds.
-PEER_RETRY = 0.5
+#: Kinds of request whose success acknowledges a write.
+ACKNOWLEDGING_KINDS = (core.Kind.WRITE, core.Kind.COMMIT)
+#: Time after which a caller may retry at a proxy that had no
+#: configuration, in seconds.
+CONFIG_RETRY_AFTER_S = 1.0
+#: Time after which a caller may retry when the proxy that keeps its
+#: transaction could not be reached, in seconds.
+PEER_RETRY_AFTER_S = 0.5
 
 
 @attrs.define
 class Reply:
-    """An answer with the token to return, and the last check of it."""
+    """An answer with the session token to return.
+
+    If ``acknowledges`` is true, the answer may confirm a write, and
+    ``group`` checks it once more before it is sent.
+    """
 
     answer: core.Answer
     session: str = ''
@@ -40,10 +46,10 @@
     acknowledges: bool = False
 
     def final(self) -> core.Answer:
-        """Give the answer that is true at this moment.
+        """Return the answer that is valid now.
 
-        A proxy that was paused or has given up its permission since the
-        write was confirmed must not acknowledge it any more.
+        A proxy must not acknowledge a write if it was paused or gave up
+        its permission after the write was confirmed.
         """
         if not self.acknowledges or self.group is None:
             return self.answer
@@ -54,7 +60,7 @@
 
 
 class Service:
-    """The caller interface's inner side."""
+    """Implements the callers' interface, independent of HTTP."""
 
     def __init__(
         self,
@@ -65,8 +71,8 @@
         self._deps = deps
         self._peers = peers
         self._quotas = quotas
-        self._of_tenants = _tenants.InFlight()
-        self._numbers = itertools.count(1)
+        self._tenant_in_flight = _tenants.InFlight()
+        self._request_ids = itertools.count(1)
         self.doc = config.Document(sites={})
         self.tenants = _tenants.SiteTenants(self.doc)
         self.version = 0
@@ -74,58 +80,59 @@
         self.in_flight = 0
 
     async def call(self, call: ports.Call) -> ports.CallReply:
-        """Serve one call; every outcome is an answer."""
+        """Serve one call; failures are returned as answers, too."""
         if self.version == 0:
             return _refused(
                 core.Code.NO_CONFIG,
                 'no configuration is in force here yet',
-                CONFIG_RETRY,
+                CONFIG_RETRY_AFTER_S,
             )
         tenant = self._tenant_of(call)
         if tenant is None:
-            return _refused(core.Code.UNAUTHORIZED, 'the key opens nothing')
-        refused = await self._over_limit(call, tenant)
+            return _refused(core.Code.UNAUTHORIZED, 'unknown key')
+        refused = await self._check_limits(call, tenant)
         if refused is not None:
             return refused
         tenant = self._tenant_of(call)
         if tenant is None:
-            # Withdrawn while the keeper of the quota was asked.
+            # The key was withdrawn while this proxy waited for the
+            # proxy that grants the quota.
             return _refused(core.Code.UNAUTHORIZED, 'the key was withdrawn')
         self.in_flight += 1
         name = self.tenants.short_name(tenant)
         try:
-            with self._of_tenants.serving(tenant.name):
-                reply = await self._served(call, name)
+            with self._tenant_in_flight.serving(tenant.name):
+                reply = await self._serve(call, name)
         finally:
             self.in_flight -= 1
         self._count(call, name, reply)
         return reply
 
-    async def _over_limit(
+    async def _check_limits(
         self, call: ports.Call, tenant: tenants.Tenant
     ) -> Reply | None:
-        """Refuse a request over a limit of its tenant; None: it may start."""
+        """Return the refusal if the tenant is over a limit, or else None."""
         name = self.tenants.short_name(tenant)
         cfg = self.doc.sites[call.site].tenants[name]
         detail = 'the tenant is over a limit'
-        if not self._of_tenants.allows(tenant.name, cfg.max_in_flight):
+        if not self._tenant_in_flight.allows(tenant.name, cfg.max_in_flight):
             return _refused(core.Code.TENANT_LIMIT, detail, 1 / tenant.rate)
         admission = await self._quotas.admit(tenant, 0.0)
         if admission.granted:
             return None
         return _refused(core.Code.TENANT_LIMIT, detail, admission.wait)
 
-    async def forwarded(self, ask: messages.Forward) -> core.Answer:
-        """Serve a transaction's step that came through another proxy."""
+    async def serve_forwarded(self, ask: messages.Forward) -> core.Answer:
+        """Serve a step of a transaction that another proxy forwarded."""
         group = self.groups.get(ask.key)
         if group is None:
             return _refused(core.Code.TXN_UNKNOWN, 'no such group').answer
         req = core.shifted_request(
-            ask.request, self._deps.clock.now(), next(self._numbers)
+            ask.request, self._deps.clock.now(), next(self._request_ids)
         )
         answer = await group.request(req)
         reply = Reply(
-            answer, group=group, acknowledges=req.kind in ACKNOWLEDGING
+            answer, group=group, acknowledges=req.kind in ACKNOWLEDGING_KINDS
         )
         return reply.final()
 
@@ -137,7 +144,7 @@
             return None
         return self.tenants.holder_of(call.site, tenants.key_hash(key))
 
-    async def _served(self, call: ports.Call, tenant: str) -> Reply:
+    async def _serve(self, call: ports.Call, tenant: str) -> Reply:
         key = messages.GroupKey(call.site, call.group)
         group = self.groups.get(key)
         if group is None:
@@ -150,7 +157,8 @@
             token = read.unwrap()
         if token.site != call.site:
             return _refused(
-                core.Code.BAD_REQUEST, 'the token is of another site'
+                core.Code.BAD_REQUEST,
+                'the session token belongs to another site',
             )
         read_class = group.machine.cfg.read_classes.get(call.read_class)
         if call.read_class and read_class is None:
@@ -174,7 +182,7 @@
         if call.key is not None:
             key = f'{tenant}:{call.key}'
         return core.Request(
-            id=next(self._numbers),
+            id=next(self._request_ids),
             tenant=tenant,
             kind=call.kind,
             deadline=call.received + call.time_left,
@@ -212,13 +220,13 @@
             answer,
             session,
             group,
-            acknowledges=req.kind in ACKNOWLEDGING,
+            acknowledges=req.kind in ACKNOWLEDGING_KINDS,
         )
 
     async def _forward(
         self, req: core.Request, group: _group_task.GroupTask, owner: str
     ) -> core.Answer:
-        """Hand a step to the proxy that keeps the transaction."""
+        """Forward a step to the proxy that keeps the transaction."""
         now = self._deps.clock.now()
         time_left = req.deadline - now
         ask = messages.Forward(group.key, core.shifted_request(req, -now))
@@ -234,7 +242,7 @@
             outcome,
             code=core.Code.TXN_UNREACHABLE,
             detail=detail,
-            retry_after=PEER_RETRY,
+            retry_after=PEER_RETRY_AFTER_S,
         )
 
     def _count(self, call: ports.Call, tenant: str, reply: Reply) -> None:
@@ -270,7 +278,10 @@
 
 
 def fingerprint(statements: tuple[core.Statement, ...]) -> str:
-    """Give a hash that tells one request's content from another's."""
+    """Return a hash of the statements and their parameters.
+
+    It shows whether an idempotency key was reused for other statements.
+    """
     plain = [[stmt.sql, list(stmt.params)] for stmt in statements]
     return hashlib.sha256(orjson.dumps(plain)).hexdigest()
 
--- a/src/tidegrade/http_proxy/_settings.py
+++ b/src/tidegrade/http_proxy/_settings.py
@@ -11,11 +11,11 @@
 
 @attrs.frozen
 class HttpSettings:
-    """Where callers and operators connect, and what they may send.
+    """Address of the HTTP server and limits for its clients.
 
-    Sizes are in bytes, times in seconds. A connection that takes longer
-    than ``header_timeout_s`` to send a request's head is closed. With
-    ``cert_file`` and ``key_file`` the proxy serves TLS only.
+    Sizes are in bytes, times in seconds. The proxy closes a connection
+    that takes longer than ``header_timeout_s`` to send a request's head.
+    With ``cert_file`` and ``key_file`` the proxy serves TLS only.
     """
 
     host: str
@@ -34,12 +34,14 @@
 
 @attrs.frozen
 class ProxySettings:
-    """Everything a proxy must know before it meets the platform.
+    """What a proxy needs before it can contact the platform.
 
-    ``operators`` maps operators' names to the SHA-256 of their keys; they
-    may act before any configuration names others. A graceful shutdown
-    waits ``unready_s`` for the balancer to notice that this proxy isn't
-    ready any more, and at most ``drain_limit_s`` for work to be finished.
+    Times are in seconds. ``operators`` maps the names of operators to the
+    SHA-256 of their keys; these operators are accepted before the first
+    configuration, and after it besides those that it names. A graceful
+    shutdown waits ``unready_s`` for the load balancer to notice that this
+    proxy isn't ready any more, and at most ``drain_limit_s`` for its work
+    to finish.
     """
 
     name: str
@@ -60,7 +62,7 @@
 def read_settings(
     raw: bytes,
 ) -> result.Result[ProxySettings, list[str]]:
-    """Read and check settings; the errors name paths."""
+    """Read and check settings; each error names the path at fault."""
     read = _structure.structure(raw, ProxySettings)
     if read.is_err():
         return read
--- a/src/tidegrade/http_proxy/_tenants.py
+++ b/src/tidegrade/http_proxy/_tenants.py
@@ -1,4 +1,4 @@
-"""The tenants of the HTTP program's sites, and their requests in flight."""
+"""The tenants of each site, and the count of their requests in flight."""
 
 from collections.abc import Iterator
 import contextlib
@@ -6,30 +6,31 @@
 from tidegrade import config
 from tidegrade import tenants
 
-#: Seconds of its rate that a tenant may save up for a burst.
-BURST_SECONDS = 1.0
+#: Largest burst of a tenant: what it may send at its rate in this time,
+#: in seconds.
+BURST_S = 1.0
 
 
 def full_name(site: str, name: str) -> str:
-    """Give the name of a site's tenant that no other site's has."""
+    """Return a tenant's name that is unique across all sites."""
     return f'{site}/{name}'
 
 
 def tenant_of(site: str, name: str, cfg: config.Tenant) -> tenants.Tenant:
-    """Give a tenant as the configuration document describes it."""
+    """Return a tenant as the configuration document describes it."""
     return tenants.Tenant(
         name=full_name(site, name),
         key_hashes=frozenset({cfg.key_sha256}),
         rate=cfg.requests_per_s,
-        burst=max(1.0, cfg.requests_per_s * BURST_SECONDS),
+        burst=max(1.0, cfg.requests_per_s * BURST_S),
     )
 
 
 class SiteTenants:
-    """The tenants of one version of the configuration, by their sites."""
+    """The tenants of one version of the configuration, by site."""
 
     def __init__(self, doc: config.Document) -> None:
-        self._rings = {
+        self._keyrings = {
             site: tenants.Keyring(
                 tenant_of(site, name, cfg)
                 for name, cfg in found.tenants.items()
@@ -38,8 +39,8 @@
         }
         self._by_name = {
             tenant.name: tenant
-            for ring in self._rings.values()
-            for tenant in ring
+            for keyring in self._keyrings.values()
+            for tenant in keyring
         }
         self._names = {
             full_name(site, name): name
@@ -48,32 +49,32 @@
         }
 
     def holder_of(self, site: str, key_hash: str) -> tenants.Tenant | None:
-        """Give whose key this is at a site, or None."""
-        ring = self._rings.get(site)
-        return None if ring is None else ring.holder_of(key_hash)
+        """Return the tenant of a site with this key's hash, or None."""
+        keyring = self._keyrings.get(site)
+        return None if keyring is None else keyring.holder_of(key_hash)
 
-    def named(self, name: str) -> tenants.Tenant | None:
-        """Give a tenant by its full name, or None."""
+    def by_full_name(self, name: str) -> tenants.Tenant | None:
+        """Return the tenant with this full name, or None."""
         return self._by_name.get(name)
 
     def short_name(self, tenant: tenants.Tenant) -> str:
-        """Give a tenant's name within its site."""
+        """Return a tenant's name within its site."""
         return self._names[tenant.name]
 
 
 class InFlight:
-    """Counts the requests of tenants that this proxy is serving."""
+    """Counts the requests that this proxy is serving for each tenant."""
 
     def __init__(self) -> None:
         self._counts: dict[str, int] = {}
 
-    def allows(self, name: str, most: int) -> bool:
-        """Tell whether a tenant may have another request served here."""
-        return self._counts.get(name, 0) < most
+    def allows(self, name: str, limit: int) -> bool:
+        """Return whether a tenant is below its limit of ``most`` requests."""
+        return self._counts.get(name, 0) < limit
 
     @contextlib.contextmanager
     def serving(self, name: str) -> Iterator[None]:
-        """Count a request of a tenant while it is served."""
+        """Count a tenant's request while this proxy serves it."""
         self._counts[name] = self._counts.get(name, 0) + 1
         try:
             yield
