--- a/src/tidegrade/cli/_client.py
+++ b/src/tidegrade/cli/_client.py
@@ -1,4 +1,4 @@
-"""The command line's connection to a proxy's operators' interface."""
+"""HTTP client for the operators' interface of a proxy."""
 
 import ssl
 
@@ -6,13 +6,13 @@
 import httpx
 import result
 
-#: Time that one request may take, in seconds.
-REQUEST_LIMIT = 20.0
+#: Time-out of one request, in seconds.
+REQUEST_TIMEOUT_S = 20.0
 
 
 @attrs.frozen
 class ClientSettings:
-    """Which proxy to talk to, and as whom."""
+    """The URL of a proxy, the operator's key and the CA file for TLS."""
 
     url: str
     key: str
@@ -21,7 +21,7 @@
 
 @attrs.frozen
 class Failure:
-    """A request that gave no success; ``status`` is 0 without an answer."""
+    """A request that failed; ``status`` is 0 if no answer came."""
 
     status: int
     code: str
@@ -30,7 +30,7 @@
 
 
 class Client:
-    """Asks one proxy."""
+    """Sends requests to one proxy."""
 
     def __init__(self, cfg: ClientSettings) -> None:
         verify: ssl.SSLContext | bool = True
@@ -39,22 +39,22 @@
         self._client = httpx.Client(
             base_url=cfg.url,
             headers={'Authorization': f'Bearer {cfg.key}'},
-            timeout=REQUEST_LIMIT,
+            timeout=REQUEST_TIMEOUT_S,
             verify=verify,
             trust_env=False,
         )
 
     def get(self, path: str) -> result.Result[dict[str, object], Failure]:
-        """Read something."""
-        return self._ask('GET', path, None)
+        """Send a GET request."""
+        return self._request('GET', path, None)
 
     def post(
         self, path: str, body: dict[str, object] | None = None
     ) -> result.Result[dict[str, object], Failure]:
-        """Have something done."""
-        return self._ask('POST', path, body)
+        """Send a POST request with a JSON body."""
+        return self._request('POST', path, body)
 
-    def _ask(
+    def _request(
         self, method: str, path: str, body: dict[str, object] | None
     ) -> result.Result[dict[str, object], Failure]:
         try:
--- a/src/tidegrade/cli/_config.py
+++ b/src/tidegrade/cli/_config.py
@@ -1,4 +1,4 @@
-"""Commands about the configuration."""
+"""``tidegrade config``: check, compare and apply configurations."""
 
 import difflib
 import json
@@ -19,8 +19,8 @@
     no_args_is_help=True, help='Check, compare and apply configurations.'
 )
 
-#: Pause between looks whether a version is in force, in seconds.
-LOOK_PAUSE = 0.1
+#: Pause between checks whether a version is in force, in seconds.
+POLL_PAUSE_S = 0.1
 
 
 @app.command()
@@ -37,7 +37,7 @@
     key: _options.Key,
     ca_file: _options.CaFile = '',
 ) -> None:
-    """Show what applying a file would change; status 1 if anything."""
+    """Show what applying a file would change; status 1 if it differs."""
     plain = _read_checked(file)
     shown = _current(_options.client(url, key, ca_file))
     before = _lines(shown.get('document') or {})
@@ -82,10 +82,10 @@
     as_json: _options.AsJson = False,
     ca_file: _options.CaFile = '',
 ) -> None:
-    """Put a file in force as a whole, and wait until it is everywhere.
+    """Apply a file as a whole, and wait until every proxy reports it.
 
     Status 3 if another file was applied first, 7 if a live proxy doesn't
-    report the version in time, 8 if nobody can tell whether it was taken.
+    report the version in time, 8 if it is unknown whether it was applied.
     """
     plain = _read_checked(file)
     client = _options.client(url, key, ca_file)
@@ -98,7 +98,7 @@
     )
     if asked.is_err():
         failure = asked.unwrap_err()
-        _tell_winner(failure.body.get('winner'))
+        _print_winner(failure.body.get('winner'))
         if failure.body.get('outcome') == 'unknown':
             typer.echo(
                 f'to find out, repeat with --apply-id {apply_id}', err=True
@@ -106,7 +106,7 @@
         raise _exit.fail(failure)
     version = int(str(asked.unwrap()['version']))
     behind = _wait_until_in_force(client, version, wait)
-    _tell_applied(version, behind, as_json)
+    _print_applied(version, behind, as_json)
     if behind:
         raise typer.Exit(_exit.Exit.NOT_EVERYWHERE)
 
@@ -150,7 +150,7 @@
 
 
 def _read_checked(file: pathlib.Path) -> dict[str, object]:
-    """Give a file's content, or end the command with what is wrong."""
+    """Return a file's content, or print its errors and exit."""
     raw = file.read_bytes()
     read = _structure.structure(raw, config.Document)
     if read.is_err():
@@ -175,7 +175,7 @@
     return json.dumps(plain, indent=2, sort_keys=True).splitlines()
 
 
-def _tell_winner(winner: object) -> None:
+def _print_winner(winner: object) -> None:
     if isinstance(winner, dict):
         typer.echo(
             f'version {winner["version"]} was applied first, by'
@@ -185,19 +185,22 @@
 
 
 def _wait_until_in_force(client, version: int, wait: float) -> list[str]:
-    """Give the live proxies that don't report the version in time."""
-    until = time.monotonic() + wait
+    """Return the live proxies that don't report the version in time.
+
+    ``wait`` is in seconds.
+    """
+    end = time.monotonic() + wait
     while True:
         asked = client.get('/admin/v1/status')
         behind = ['(no status)']
         if asked.is_ok():
-            behind = _behind(asked.unwrap(), version)
-        if not behind or time.monotonic() >= until:
+            behind = _proxies_behind(asked.unwrap(), version)
+        if not behind or time.monotonic() >= end:
             return behind
-        time.sleep(LOOK_PAUSE)
+        time.sleep(POLL_PAUSE_S)
 
 
-def _behind(status: dict[str, object], version: int) -> list[str]:
+def _proxies_behind(status: dict[str, object], version: int) -> list[str]:
     proxies = [status, *status['peers']]  # type: ignore[misc]
     behind = [
         str(proxy['proxy'])
@@ -209,7 +212,7 @@
     return behind + [f'{address} (not heard)' for address in unheard]
 
 
-def _tell_applied(version: int, behind: list[str], as_json: bool) -> None:
+def _print_applied(version: int, behind: list[str], as_json: bool) -> None:
     if as_json:
         typer.echo(json.dumps({'version': version, 'behind': behind}))
         return
--- a/src/tidegrade/cli/_exit.py
+++ b/src/tidegrade/cli/_exit.py
@@ -1,4 +1,4 @@
-"""Exit statuses that scripts can rely on."""
+"""Exit statuses of the commands; scripts may depend on them."""
 
 import enum
 
@@ -8,7 +8,7 @@
 
 
 class Exit(enum.IntEnum):
-    """Why a command ended; 2 is left to wrong usage."""
+    """Exit status of a command; typer exits with 2 on wrong usage."""
 
     OK = 0
     FAILED = 1
@@ -20,8 +20,8 @@
     UNKNOWN = 8
 
 
-def of_failure(failure: _client.Failure) -> Exit:
-    """Give the status for a request that failed."""
+def status_of(failure: _client.Failure) -> Exit:
+    """Return the exit status for a request that failed."""
     if failure.body.get('outcome') == 'unknown':
         return Exit.UNKNOWN
     by_status = {
@@ -35,9 +35,9 @@
 
 
 def fail(failure: _client.Failure) -> typer.Exit:
-    """Print why a request failed and give the exception to raise."""
+    """Print why a request failed; return the exception to raise."""
     errors = failure.body.get('errors')
     lines = errors if isinstance(errors, list) and errors else None
     for line in lines or [failure.detail or failure.code]:
         typer.echo(f'error: {line}', err=True)
-    return typer.Exit(of_failure(failure))
+    return typer.Exit(status_of(failure))
--- a/src/tidegrade/cli/_log_lines.py
+++ b/src/tidegrade/cli/_log_lines.py
@@ -1,4 +1,4 @@
-"""Reading the JSON lines that proxies wrote, of one or many of them."""
+"""Reads the JSON log lines of one or more proxies."""
 
 from collections.abc import Iterable
 import datetime
@@ -8,16 +8,16 @@
 import attrs
 import result
 
-#: How a line of ours begins; what stands before it, such as the name of a
-#: VM that a collector has added, is skipped.
-BEGINNING = '{"time"'
+#: Start of a log line of a proxy. Text before it is skipped, such as the
+#: name of a VM that a log collector adds.
+LINE_START = '{"time"'
 
 
 @attrs.frozen
 class LogLine:
-    """One event: when, by which run of a proxy, and what it tells.
+    """One log event of one run of a proxy.
 
-    ``time`` is in seconds since the epoch, by the clock of the VM.
+    ``time`` is in seconds since the Unix epoch, by the clock of the VM.
     """
 
     time: float
@@ -27,30 +27,30 @@
     fields: dict[str, object]
 
     def text(self, name: str) -> str:
-        """Give a field as text; empty if the event has none."""
+        """Return a field as text; empty if the event lacks the field."""
         found = self.fields.get(name)
         return '' if found is None else str(found)
 
 
 @attrs.define
 class Reading:
-    """The lines that could be read, by time, and how many could not."""
+    """The lines that were read, by time, and the count of malformed ones."""
 
     lines: list[LogLine] = attrs.field(factory=list)
     malformed: int = 0
 
 
 def read_lines(texts: Iterable[str]) -> Reading:
-    """Read lines in any order; what is not of ours is passed over.
+    """Read lines in any order; lines that no proxy wrote are skipped.
 
-    A line that was cut off counts as malformed.
+    A line of a proxy that was cut off counts as malformed.
     """
     found = Reading()
     for text in texts:
-        begins = text.find(BEGINNING)
-        if begins < 0:
+        start = text.find(LINE_START)
+        if start < 0:
             continue
-        line = _read(text[begins:])
+        line = _read(text[start:])
         if line.is_ok():
             found.lines.append(line.unwrap())
         else:
@@ -76,6 +76,9 @@
 
 
 def _seconds(text: str) -> float:
-    """Give the seconds of a time such as ``2026-01-21 00:32:08,522``."""
-    moment = datetime.datetime.strptime(text, '%Y-%m-%d %H:%M:%S,%f')
-    return moment.replace(tzinfo=datetime.UTC).timestamp()
+    """Return seconds since the Unix epoch.
+
+    ``text`` is a time in UTC such as ``2026-01-21 00:32:08,522``.
+    """
+    parsed = datetime.datetime.strptime(text, '%Y-%m-%d %H:%M:%S,%f')
+    return parsed.replace(tzinfo=datetime.UTC).timestamp()
--- a/src/tidegrade/cli/_log_summary.py
+++ b/src/tidegrade/cli/_log_summary.py
@@ -1,4 +1,4 @@
-"""What became of requests over time, and one request with its causes."""
+"""Counts answers by interval, and finds the log lines of one request."""
 
 import collections
 from collections.abc import Iterable
@@ -9,16 +9,17 @@
 from tidegrade.cli import _log_lines
 from tidegrade import logs
 
-#: Events that are the answer to a request.
-ANSWERS = frozenset(
+#: Numbers of the events that record the answer to a request.
+ANSWER_EVENTS = frozenset(
     {
         logs.LogEvent.ANSWERED.number,
         logs.LogEvent.REFUSED.number,
         logs.LogEvent.OUTCOME_UNKNOWN.number,
     }
 )
-#: Events that change what a proxy believes, or say why it can't serve.
-BELIEFS = frozenset(
+#: Numbers of the events that record a change in a proxy's state or the
+#: reason why it can't serve.
+STATE_EVENTS = frozenset(
     event.number
     for event in (
         logs.LogEvent.STARTED,
@@ -38,42 +39,46 @@
         logs.LogEvent.FORWARD_LOST,
     )
 )
-#: How far back beliefs are shown before a request's answer, in seconds:
-#: twice what a permission lasts.
-LOOK_BACK = 2.0
+#: State events up to this long before a request's answer are shown, in
+#: seconds; twice the duration of a permission.
+STATE_WINDOW_S = 2.0
 
 
 @attrs.frozen
 class Interval:
-    """What was answered in one interval, by kind and by what it was."""
+    """Counts of the answers in one interval, by kind and by result.
 
-    begins: float
+    ``start_s`` is in seconds since the Unix epoch.
+    """
+
+    start_s: float
     counts: dict[tuple[str, str], int]
 
 
-def by_interval(
+def count_by_interval(
     lines: Iterable[_log_lines.LogLine], step: float, late_ms: float
 ) -> list[Interval]:
-    """Count answers by interval; those above ``late_ms`` are ``late``.
+    """Count answers by interval.
 
     ``step`` is the length of an interval in seconds. A refusal counts
-    under its code.
+    under its code, an answer that took longer than ``late_ms`` as ``late``
+    and any other as ``in time``.
     """
     counts: dict[int, collections.Counter[tuple[str, str]]] = {}
     for line in lines:
-        if line.event not in ANSWERS:
+        if line.event not in ANSWER_EVENTS:
             continue
         number = math.floor(line.time / step)
-        what = _what(line, late_ms)
+        result = _result_of(line, late_ms)
         found = counts.setdefault(number, collections.Counter())
-        found[line.text('kind').lower(), what] += 1
+        found[line.text('kind').lower(), result] += 1
     return [
         Interval(number * step, dict(counts[number]))
         for number in sorted(counts)
     ]
 
 
-def _what(line: _log_lines.LogLine, late_ms: float) -> str:
+def _result_of(line: _log_lines.LogLine, late_ms: float) -> str:
     code = line.text('code')
     if code:
         return code
@@ -81,20 +86,21 @@
     return 'late' if took > late_ms else 'in time'
 
 
-def about_request(
+def lines_of_request(
     lines: list[_log_lines.LogLine], request: str
 ) -> list[_log_lines.LogLine]:
-    """Give a request's lines, and what its proxies believed before them.
+    """Return a request's lines and the state events before its answers.
 
-    ``lines`` are in the order of time.
+    The state events are those of the proxies that served or forwarded the
+    request. ``lines`` must be sorted by time.
     """
     own = [line for line in lines if line.text('request') == request]
     proxies = {line.proxy for line in own}
     proxies |= {line.text('via') for line in own if line.text('via')}
     found = []
     for line in lines:
-        believed = line.event in BELIEFS and line.proxy in proxies
-        if line in own or (believed and _precedes(line, own)):
+        is_state_event = line.event in STATE_EVENTS and line.proxy in proxies
+        if line in own or (is_state_event and _precedes(line, own)):
             found.append(line)
     return found
 
@@ -102,4 +108,4 @@
 def _precedes(
     line: _log_lines.LogLine, answers: list[_log_lines.LogLine]
 ) -> bool:
-    return any(0 <= a.time - line.time <= LOOK_BACK for a in answers)
+    return any(0 <= a.time - line.time <= STATE_WINDOW_S for a in answers)
--- a/src/tidegrade/cli/_logs.py
+++ b/src/tidegrade/cli/_logs.py
@@ -1,4 +1,4 @@
-"""``tidegrade logs``: what proxies wrote, read together."""
+"""``tidegrade logs``: reads the logs of several proxies together."""
 
 import collections
 import pathlib
@@ -36,23 +36,27 @@
         float, typer.Option(min=0.0, help='Answers that took longer are late.')
     ] = 150.0,
 ) -> None:
-    """Print what became of requests, interval by interval."""
+    """Print the results of requests, interval by interval."""
     reading = _read(files)
-    for interval in _log_summary.by_interval(reading.lines, step, late_ms):
+    for interval in _log_summary.count_by_interval(
+        reading.lines, step, late_ms
+    ):
         typer.echo(_row(interval))
     _warn(reading)
 
 
 @app.command()
 def request(
-    request_id: Annotated[str, typer.Argument(help="The caller's own id.")],
+    request_id: Annotated[
+        str, typer.Argument(help='Id that the caller sent.')
+    ],
     files: Files = None,
 ) -> None:
-    """Follow a request through all proxies, with what they believed."""
+    """Print a request's events on all proxies, with state changes."""
     reading = _read(files)
-    found = _log_summary.about_request(reading.lines, request_id)
+    found = _log_summary.lines_of_request(reading.lines, request_id)
     for line in found:
-        typer.echo(_told(line))
+        typer.echo(_line_text(line))
     _warn(reading)
     if not found:
         typer.echo(f'error: no line names the request {request_id}', err=True)
@@ -70,27 +74,30 @@
 
 def _row(interval: _log_summary.Interval) -> str:
     totals: collections.Counter[str] = collections.Counter()
-    for (_, what), count in interval.counts.items():
-        totals[what] += count
-    parts = [f'{what} {count}' for what, count in sorted(totals.items())]
+    for (_, result), count in interval.counts.items():
+        totals[result] += count
+    parts = [f'{result} {count}' for result, count in sorted(totals.items())]
     kinds = [
-        f'{kind} {what} {count}'
-        for (kind, what), count in sorted(interval.counts.items())
-        if what != 'in time'
+        f'{kind} {result} {count}'
+        for (kind, result), count in sorted(interval.counts.items())
+        if result != 'in time'
     ]
-    row = f'{interval.begins:.2f}  {", ".join(parts)}'
+    row = f'{interval.start_s:.2f}  {", ".join(parts)}'
     return f'{row}  ({"; ".join(kinds)})' if kinds else row
 
 
-def _told(line: _log_lines.LogLine) -> str:
-    fields = ' '.join(f'{name}={told}' for name, told in line.fields.items())
+def _line_text(line: _log_lines.LogLine) -> str:
+    fields = ' '.join(f'{name}={value}' for name, value in line.fields.items())
     return (
         f'{line.time:.3f} {line.proxy} {line.event} {line.message}: {fields}'
     )
 
 
 def _warn(reading: _log_lines.Reading) -> None:
-    """Say what could not be read, so that nobody takes it for silence."""
+    """Print the count of malformed lines.
+
+    Without it, their events would seem not to have happened.
+    """
     if reading.malformed:
         typer.echo(
             f'warning: {reading.malformed} lines could not be read', err=True
--- a/src/tidegrade/cli/_main.py
+++ b/src/tidegrade/cli/_main.py
@@ -28,7 +28,7 @@
         typer.Option(exists=True, dir_okay=False, help='Settings file, JSON.'),
     ],
 ) -> None:
-    """Run a proxy until it is asked to drain."""
+    """Run a proxy until a drain is requested."""
     read = http_proxy.read_settings(settings.read_bytes())
     if read.is_err():
         for line in read.unwrap_err():
@@ -44,7 +44,7 @@
     as_json: _options.AsJson = False,
     ca_file: _options.CaFile = '',
 ) -> None:
-    """Show what a proxy knows of itself, its peers and the groups."""
+    """Show the state of a proxy, its peers and the groups."""
     asked = _options.client(url, key, ca_file).get('/admin/v1/status')
     if asked.is_err():
         raise _exit.fail(asked.unwrap_err())
@@ -61,7 +61,7 @@
     key: _options.Key,
     ca_file: _options.CaFile = '',
 ) -> None:
-    """Have a proxy finish its work and stop."""
+    """Make a proxy finish its work and stop."""
     asked = _options.client(url, key, ca_file).post('/admin/v1/drain')
     if asked.is_err():
         raise _exit.fail(asked.unwrap_err())
--- a/src/tidegrade/cli/_options.py
+++ b/src/tidegrade/cli/_options.py
@@ -21,7 +21,7 @@
     str,
     typer.Option(
         envvar='TIDEGRADE_CA',
-        help="Certificates that sign the proxies' own.",
+        help="File of CA certificates for the proxies' TLS.",
     ),
 ]
 AsJson = Annotated[
@@ -39,5 +39,5 @@
 
 
 def client(url: str, key: str, ca_file: str) -> _client.Client:
-    """Give the connection that the options describe."""
+    """Return a client for the proxy that the options name."""
     return _client.Client(_client.ClientSettings(url, key, ca_file))
--- a/tests/cli/test_log_commands.py
+++ b/tests/cli/test_log_commands.py
@@ -1,4 +1,4 @@
-"""``tidegrade logs`` over the lines of several proxies."""
+"""``tidegrade logs`` on the log lines of several proxies."""
 
 import json
 import pathlib
@@ -10,7 +10,7 @@
 
 
 def line(second: float, proxy: str, event: int, **fields: object) -> str:
-    """Give a line as a proxy writes it, after a collector's prefix."""
+    """Return a proxy's log line with the prefix of a log collector."""
     whole, part = divmod(second, 1)
     return f'{proxy} | ' + json.dumps(
         {
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def logs(tmp_path: pathlib.Path) -> list[str]:
-    """Give the files of two proxies; one line of the second is cut off."""
+    """Return two log files; one line of the second is cut off."""
     first = [
         line(1.0, 'p1', 1402),
         line(2.2, 'p1', 1604, request='ab', kind='Run', code='no_primary'),
@@ -61,7 +61,7 @@
     assert '1 lines could not be read' in found.stderr
 
 
-def test_a_request_is_followed_with_what_its_proxies_believed(logs):
+def test_a_request_is_printed_with_state_events_of_its_proxies(logs):
     rows = run('request', 'ab', *logs).stdout.splitlines()
     assert [row.split()[1] for row in rows] == ['p1', 'p1', 'p2']
     assert [row.split()[2] for row in rows] == ['1402', '1604', '1603']
