--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Settings that all tests share, and the failures that are known."""
+"""Shared pytest settings and the list of known test failures."""
 
 import pathlib
 
@@ -6,19 +6,19 @@
 import hypothesis
 import pytest
 
-# The same examples every time: a verdict must not depend on the day.
+# Every run uses the same examples, so that results are reproducible.
 hypothesis.settings.register_profile(
     'repeatable', derandomize=True, deadline=None, database=None
 )
 hypothesis.settings.load_profile('repeatable')
 
-#: Tests that fail for a fault which is not mended yet, a line each.
-KNOWN_RED = pathlib.Path(__file__).parents[1] / 'KNOWN-RED.txt'
+#: Lists the tests that fail because of a fault not fixed yet, one per line.
+KNOWN_FAILURES_FILE = pathlib.Path(__file__).parents[1] / 'KNOWN-RED.txt'
 
 
 @attrs.frozen
-class KnownRed:
-    """A line of the file: ``test | command and seed | seen | issue``."""
+class KnownFailure:
+    """One line of the file: ``test | command and seed | seen | issue``."""
 
     test: str
     command: str
@@ -26,17 +26,20 @@
     issue: str
 
 
-def known_red() -> list[KnownRed]:
-    """Read the file; a line of another form is an error."""
-    if not KNOWN_RED.exists():
+def known_failures() -> list[KnownFailure]:
+    """Return the known failures.
+
+    A line that does not have four fields raises a TypeError.
+    """
+    if not KNOWN_FAILURES_FILE.exists():
         return []
-    lines = KNOWN_RED.read_text().splitlines()
-    return [KnownRed(*line.split(' | ')) for line in lines]
+    lines = KNOWN_FAILURES_FILE.read_text().splitlines()
+    return [KnownFailure(*line.split(' | ')) for line in lines]
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Let a known failure not fail the run; whatever else fails does."""
-    seen = {red.test: red.seen for red in known_red()}
+    """Mark known failures as expected, so that only others fail the run."""
+    seen = {failure.test: failure.seen for failure in known_failures()}
     for item in items:
         if item.nodeid in seen:
             item.add_marker(
@@ -45,9 +48,9 @@
 
 
 def pytest_terminal_summary(terminalreporter) -> None:
-    """Print the known failures at the end of every run."""
-    for red in known_red():
+    """Print the known failures at the end of each run."""
+    for failure in known_failures():
         terminalreporter.write_line(
-            f'known red: {red.test}: {red.seen} (issue {red.issue}; '
-            f'{red.command})'
+            f'known red: {failure.test}: {failure.seen} '
+            f'(issue {failure.issue}; {failure.command})'
         )
--- a/tests/edge/conftest.py
+++ b/tests/edge/conftest.py
@@ -1,4 +1,4 @@
-"""A site of the platform's stand-in, with proxies as processes."""
+"""Fixtures that run a simulated site with proxies as real processes."""
 
 import contextlib
 
@@ -6,9 +6,9 @@
 import pytest
 import tidegrade_edge as edge
 
-#: Time that something may take to come about, in seconds. It only bounds
-#: a failing test; no verdict depends on how fast the machine is.
-PATIENCE = 30.0
+#: Time limit for a condition to become true, in seconds. The limit only ends
+#: a failing test; no result depends on the speed of the machine.
+CONDITION_TIMEOUT_S = 30.0
 
 
 @pytest.fixture
@@ -18,11 +18,11 @@
 
 @contextlib.asynccontextmanager
 async def _run(folder, cfg=None):
-    """Run a site whose proxies take writes."""
+    """Run a site until the block ends; its proxies accept writes."""
     made = edge.Site(folder, cfg)
     async with anyio.create_task_group() as tasks:
         try:
-            with anyio.fail_after(PATIENCE):
+            with anyio.fail_after(CONDITION_TIMEOUT_S):
                 await made.start(tasks)
             yield made
         finally:
@@ -31,21 +31,21 @@
 
 
 @pytest.fixture
-def running():
-    """Give what runs a site of another shape."""
+def run_site():
+    """Return the context manager that runs a site with given settings."""
     return _run
 
 
 @pytest.fixture
 async def site(tmp_path):
-    """Give a site whose proxies take writes."""
+    """Yield a site whose proxies accept writes."""
     async with _run(tmp_path) as made:
         yield made
 
 
 @pytest.fixture
 async def relayed(tmp_path):
-    """Give a site whose connections run through relays."""
+    """Yield a site whose connections pass through relays."""
     cfg = edge.SiteSettings(relayed=True)
     async with _run(tmp_path, cfg) as made:
         yield made
@@ -53,11 +53,11 @@
 
 @pytest.fixture
 def until():
-    """Give a function that waits until a condition holds."""
+    """Return a function that waits until a condition holds."""
 
-    async def wait(holds, patience=PATIENCE) -> None:
-        with anyio.fail_after(patience):
-            while not await holds():
+    async def wait(condition, timeout_s=CONDITION_TIMEOUT_S) -> None:
+        with anyio.fail_after(timeout_s):
+            while not await condition():
                 await anyio.sleep(0.05)
 
     return wait
--- a/tests/edge/test_edge_failures.py
+++ b/tests/edge/test_edge_failures.py
@@ -1,4 +1,4 @@
-"""What must hold while instances, proxies and the store fail."""
+"""Guarantees that hold while instances, proxies and the store fail."""
 
 import json
 import signal
@@ -11,7 +11,7 @@
 
 
 async def write(site, number: int = 0) -> str:
-    """Write once through a proxy; give the error's code."""
+    """Write once through a proxy and return the error code, or ''."""
     client = await site.client(number, 'db-primary', name=f'p{number}-')
     reply = await client.ask('WRITE x 1')
     await client.close()
@@ -39,17 +39,18 @@
         return await write(site, 1) == ''
 
     await until(written)
-    kept = len(old.log)
+    log_length = len(old.log)
     old.faults.dark = False
     for number in range(10):
         assert await write(site, number % 3) in ('', 'BUSY')
-    assert len(old.log) == kept or old.role == 'replica'
+    assert len(old.log) == log_length or old.role == 'replica'
 
 
 async def test_a_primary_that_no_longer_leads_is_replaced(site, until):
-    """A late order deposes it; it answers, and no write is taken.
+    """A group was left without a primary that accepts writes.
 
-    The whole account stands in `tests/core/test_deposed.py`.
+    A delayed order demotes the primary, which still answers each poll but
+    accepts no write. `tests/core/test_deposed.py` has the details.
     """
     deposed = site.primary
     deposed.role, deposed.held = 'replica', 4
@@ -135,8 +136,8 @@
     former = json.loads(rows['proxies/front-0'])['proxy']
     site.proxies[0].send(signal.SIGKILL)
     site.proxies[0].process.wait()
-    again = site.start_proxy(0)
-    number = site.proxies.index(again)
+    restarted = site.start_proxy(0)
+    number = site.proxies.index(restarted)
 
     async def written() -> bool:
         try:
@@ -182,8 +183,8 @@
             await anyio.sleep(0.05)
 
 
-async def refused_with(proxy, database: str) -> str:
-    """Give what a proxy says of a database that it has no route for."""
+async def connect_reply(proxy, database: str) -> str:
+    """Return the reply of a proxy that has no route for the database."""
     stream = await anyio.connect_tcp('127.0.0.1', proxy.front)
     async with stream:
         await stream.send(f'CONNECT {database} u\r\n'.encode())
@@ -193,37 +194,37 @@
 async def test_no_database_is_said_to_be_missing_by_an_old_configuration(
     site, until
 ):
-    """A new route was answered with "no such database" over 5 s later.
+    """A proxy answered "no such database" over 5 s after a route was added.
 
-    What happens: a proxy goes on by a configuration that it can't show to be
-    the newest. Why: it took what its own version lacks for what does not
-    exist.
+    The proxy answered NODB for each database that its own configuration
+    lacked, although a newer version may have it. A proxy that cannot confirm
+    that its configuration is the newest must answer BUSY.
     """
     proxy = site.proxies[0]
-    assert await refused_with(proxy, 'db-none') == 'ERROR NODB db-none'
+    assert await connect_reply(proxy, 'db-none') == 'ERROR NODB db-none'
     site.store.faults.refusing = True
 
-    async def unsure() -> bool:
-        return await refused_with(proxy, 'db-none') == 'ERROR BUSY db-none'
+    async def is_busy() -> bool:
+        return await connect_reply(proxy, 'db-none') == 'ERROR BUSY db-none'
 
-    await until(unsure)
+    await until(is_busy)
 
 
 async def test_whoever_comes_as_a_proxy_ends_is_answered_or_turned_away(site):
-    """Found by a hunt: a request taken in the last moments was cut off.
+    """A stopping proxy closed new sessions before their first request.
 
-    Later it failed now and then beside load. What happens: the session is
-    closed between its opening and its first request. Why: whatever rested
-    was closed, at a look every 50 ms. What showed it: event 1009 with
-    `answers` 0 at each cut; the next test makes it come each time.
+    The proxy closed all idle sessions every 50 ms while it stopped, also
+    those that had just been opened: event 1009 with `answers` 0 for each.
+    This test hits the fault only now and then, under load; the next test
+    reproduces it every time.
     """
     for instance in site.instances:
         instance.faults.work = 0.1
-    # The end takes a while, so that callers can come in it.
+    # Prolongs the shutdown, so that callers can connect during it.
     site.store.faults.delay = 0.25
     proxy = site.proxies[0]
     proxy.send(signal.SIGTERM)
-    cut = 0
+    cut_off = 0
     while proxy.process.poll() is None:
         try:
             client = await edge.Client.connect(proxy.front, 'db-own')
@@ -233,43 +234,39 @@
         try:
             await client.ask('READ x')
         except (anyio.EndOfStream, anyio.BrokenResourceError):
-            cut += 1
+            cut_off += 1
         await client.close()
         await anyio.sleep(0.01)
-    assert cut == 0
+    assert cut_off == 0
 
 
-#: Times that a caller takes from the opening of its session to its first
-#: request, in seconds: a round trip of 3 ms each way, and some work.
-FIRST_REQUESTS = (0.006, 0.03, 0.08)
+#: Delays between the opening of a session and its first request, in seconds:
+#: a round trip of 3 ms each way, and the caller's own work.
+FIRST_REQUEST_DELAYS_S = (0.006, 0.03, 0.08)
 
 
-@pytest.mark.parametrize('pause', FIRST_REQUESTS)
+@pytest.mark.parametrize('pause', FIRST_REQUEST_DELAYS_S)
 async def test_whoever_asks_soon_after_opening_as_a_proxy_ends(site, pause):
-    """A session that had just been opened was closed under its request.
+    """A stopping proxy closed a new session while its first request arrived.
 
-    What happens: a caller opens a session at a proxy that stops, and the
-    session ends without a word as its first request is on the way; if that
-    is a write, nobody knows whether it ran. Why: each look, every 50 ms,
-    closed whatever rested, and a session rests between its opening and its
-    first request.
-
-    What showed it: event 1009 at the moment of each cut, with `answers` 0
-    and `rested_ms` 6 to 49; a caller that asks 30 ms after the opening was
-    cut in each run, without any load.
+    If that request is a write, its outcome is unknown to the caller. The
+    proxy closed all idle sessions every 50 ms while it stopped, and a session
+    is idle between its opening and its first request: event 1009 for each,
+    with `answers` 0 and `rested_ms` 6 to 49. A caller that sends its first
+    request 30 ms after the opening was cut off in each run, without load.
     """
     client = await site.client()
     await client.ask('BEGIN')
     proxy = site.proxies[0]
     proxy.send(signal.SIGTERM)
-    # The open transaction keeps the proxy while callers come.
+    # The open transaction keeps the proxy running while callers connect.
     await anyio.sleep(1.4)
     answered = 0
     for _ in range(8):
         try:
             caller = await edge.Client.connect(proxy.front, 'db-own')
         except (OSError, anyio.EndOfStream, anyio.BrokenResourceError):
-            # Turned away before it was ready: nothing was asked.
+            # The proxy refused the session, so no request was sent.
             continue
         assert caller is not None
         await anyio.sleep(pause)
--- a/tests/edge/test_edge_homes.py
+++ b/tests/edge/test_edge_homes.py
@@ -1,4 +1,7 @@
-"""More proxies than an endpoint has connections: some serve for others."""
+"""Sites with more proxies than connections per endpoint.
+
+Proxies without a connection forward their requests to proxies that have one.
+"""
 
 import signal
 
@@ -12,35 +15,35 @@
 
 
 @pytest.fixture
-async def crowded(running, tmp_path):
-    """Give a site whose instances take fewer connections than proxies."""
+async def scarce_site(run_site, tmp_path):
+    """Yield a site whose instances accept fewer connections than proxies."""
     cfg = edge.SiteSettings(proxies=PROXIES, max_conns=5)
-    async with running(tmp_path, cfg) as made:
+    async with run_site(tmp_path, cfg) as made:
         yield made
 
 
-async def test_every_proxy_serves_within_the_cap(crowded):
+async def test_every_proxy_serves_within_the_cap(scarce_site):
     for _ in range(3):
         for number in range(PROXIES):
-            client = await crowded.client(number, name=f'c{number}-')
+            client = await scarce_site.client(number, name=f'c{number}-')
             assert (await client.ask(f'WRITE x {number}')).error == ''
             assert (await client.ask('READ x')).rows == (str(number),)
             await client.close()
-    assert max(i.most_conns for i in crowded.instances) <= PROXIES
-    settled = [i.conns for i in crowded.instances]
-    assert max(settled) <= crowded.cfg.max_conns
+    assert max(i.most_conns for i in scarce_site.instances) <= PROXIES
+    settled_conns = [i.conns for i in scarce_site.instances]
+    assert max(settled_conns) <= scarce_site.cfg.max_conns
 
 
-async def test_transactions_run_through_other_proxies(crowded):
+async def test_transactions_run_through_other_proxies(scarce_site):
     for number in range(PROXIES):
-        client = await crowded.client(number, name=f't{number}-')
+        client = await scarce_site.client(number, name=f't{number}-')
         await client.ask('SET zone a')
         await client.ask('PREPARE p WRITE q1')
         assert (await client.ask('BEGIN')).state == 'T'
         assert (await client.ask(f'EXEC p x {number}')).error == ''
         reply = await client.ask('COMMIT')
         assert (reply.error, reply.state) == ('', 'I')
-        assert reply.receipt == f'{crowded.primary.id}:{client.last_id}'
+        assert reply.receipt == f'{scarce_site.primary.id}:{client.last_id}'
         await client.ask('BEGIN')
         await client.ask('WRITE x never')
         assert (await client.ask('ROLLBACK')).state == 'I'
@@ -48,20 +51,20 @@
         await client.close()
 
 
-async def test_a_text_that_is_not_utf8_is_passed_on_unchanged(crowded):
+async def test_a_text_that_is_not_utf8_is_passed_on_unchanged(scarce_site):
     for number in range(PROXIES):
-        client = await crowded.client(number, name=f'b{number}-')
+        client = await scarce_site.client(number, name=f'b{number}-')
         await client.send_raw(b'QUERY raw%d WRITE x \xff\xfe\r\n' % number)
         assert (await client.receive()).startswith('DONE ')
 
 
-async def test_the_loss_of_a_proxy_moves_its_work(crowded, until):
-    for proxy in crowded.proxies[:2]:
+async def test_the_loss_of_a_proxy_moves_its_work(scarce_site, until):
+    for proxy in scarce_site.proxies[:2]:
         proxy.send(signal.SIGKILL)
 
     async def all_write() -> bool:
         for number in range(2, PROXIES):
-            client = await crowded.client(number, 'db-primary')
+            client = await scarce_site.client(number, 'db-primary')
             reply = await client.ask('WRITE x 1')
             await client.close()
             if reply.error:
@@ -71,12 +74,12 @@
     await until(all_write)
 
 
-async def test_a_proxy_that_stops_ends_what_it_serves_for_others(crowded):
-    clients = [await crowded.client(n, name=f's{n}-') for n in (5, 6)]
+async def test_a_proxy_that_stops_ends_what_it_serves_for_others(scarce_site):
+    clients = [await scarce_site.client(n, name=f's{n}-') for n in (5, 6)]
     for client in clients:
         await client.ask('BEGIN')
         assert (await client.ask('WRITE x 1')).error == ''
-    stopped = crowded.proxies[:5]
+    stopped = scarce_site.proxies[:5]
     for proxy in stopped:
         proxy.send(signal.SIGTERM)
     await anyio.sleep(0.4)
--- a/tests/edge/test_edge_quotas.py
+++ b/tests/edge/test_edge_quotas.py
@@ -1,4 +1,4 @@
-"""One quota over all proxies, as callers and instances see it."""
+"""A tenant's quota is enforced across all proxies."""
 
 import signal
 
@@ -10,10 +10,10 @@
 
 KEY = 'nirth5mgjy5rcpihhacr'
 RATE = 20.0
-#: Time after which a keeper grants the whole limit, in seconds, and a burst
-#: is saved up.
+#: Time after which a new quota owner grants the whole limit and a burst has
+#: accumulated, in seconds.
 NEW_OWNER_PERIOD_S = 4.0
-#: Sessions that flood one proxy: more than may wait for their turn.
+#: Sessions that flood each proxy: more than its queue admits.
 SESSIONS = 6
 
 
@@ -28,12 +28,15 @@
 
 
 @pytest.fixture
-async def limited(site, until):
-    """Give a site whose one tenant has a limit over all proxies."""
+async def limited_site(site, until):
+    """Yield a site whose only tenant has a limit across all proxies."""
     site.configure(tenants=[tenant()])
 
     async def in_force() -> bool:
-        found = [await refuses(site, n) for n in range(len(site.proxies))]
+        found = [
+            await rejects_unknown_key(site, n)
+            for n in range(len(site.proxies))
+        ]
         return all(found)
 
     await until(in_force)
@@ -44,8 +47,8 @@
     return site
 
 
-async def refuses(site, number: int) -> bool:
-    """Tell whether a proxy turns a stranger away."""
+async def rejects_unknown_key(site, number: int) -> bool:
+    """Return whether a proxy rejects an unknown key."""
     port = site.proxies[number].front
     client = await edge.Client.connect(port, 'db-own', key='stranger')
     if client is None:
@@ -55,10 +58,10 @@
 
 
 async def flood(site, seconds: float, proxies=(0, 1, 2)) -> list[str]:
-    """Ask as fast as can be through proxies; give the codes of refusals."""
+    """Send reads as fast as possible and return the errors of refusals."""
     refused: list[str] = []
 
-    async def ask(number: int) -> None:
+    async def send_reads(number: int) -> None:
         client = await site.client(number, name=f'f{number}-', key=KEY)
         while True:
             reply = await client.ask('READ x')
@@ -70,11 +73,11 @@
         async with anyio.create_task_group() as tasks:
             for number in proxies:
                 for _ in range(SESSIONS):
-                    tasks.start_soon(ask, number)
+                    tasks.start_soon(send_reads, number)
     return refused
 
 
-def runs_of(site, prefix: str = 'f') -> int:
+def count_runs(site, prefix: str = 'f') -> int:
     return sum(
         run.request_id.startswith(prefix)
         for instance in site.instances
@@ -82,40 +85,40 @@
     )
 
 
-async def test_all_proxies_together_keep_the_limit(limited):
-    refused = await flood(limited, 2.0)
-    assert RATE <= runs_of(limited) <= 2 * RATE + RATE + 5
+async def test_all_proxies_together_keep_the_limit(limited_site):
+    refused = await flood(limited_site, 2.0)
+    assert RATE <= count_runs(limited_site) <= 2 * RATE + RATE + 5
     assert refused
     for error in refused:
         assert error.startswith('BUSY the tenant is over its quota')
         assert 'retry after' in error
 
 
-async def test_a_killed_proxy_hands_nothing_out_twice(limited):
-    await flood(limited, 1.0)
-    limited.proxies[0].send(signal.SIGKILL)
-    await flood(limited, 2.0, proxies=(1, 2))
-    assert runs_of(limited) <= 3 * RATE + RATE + 5
+async def test_a_killed_proxy_hands_nothing_out_twice(limited_site):
+    await flood(limited_site, 1.0)
+    limited_site.proxies[0].send(signal.SIGKILL)
+    await flood(limited_site, 2.0, proxies=(1, 2))
+    assert count_runs(limited_site) <= 3 * RATE + RATE + 5
 
 
-async def test_a_lower_limit_holds_at_every_proxy(limited, until):
-    version = limited.configure(tenants=[tenant(rate=2.0)])
+async def test_a_lower_limit_holds_at_every_proxy(limited_site, until):
+    version = limited_site.configure(tenants=[tenant(rate=2.0)])
 
-    async def known() -> bool:
+    async def in_force_everywhere() -> bool:
         gauge = f'tidegrade_config_version {version}'
-        pages = [await limited.metrics_of(n) for n in range(3)]
+        pages = [await limited_site.metrics_of(n) for n in range(3)]
         return all(gauge in page.replace('{}', '') for page in pages)
 
-    await until(known)
-    await flood(limited, 2.0)
-    assert runs_of(limited) <= 2 * 2.0 + 2.0 + 5
+    await until(in_force_everywhere)
+    await flood(limited_site, 2.0)
+    assert count_runs(limited_site) <= 2 * 2.0 + 2.0 + 5
 
 
-async def test_who_is_below_the_limit_is_not_refused(limited):
-    client = await limited.client(1, key=KEY)
+async def test_who_is_below_the_limit_is_not_refused(limited_site):
+    client = await limited_site.client(1, key=KEY)
     await client.ask('READ x')
     await anyio.sleep(0.2)
     for _ in range(20):
         assert (await client.ask('READ x')).error == ''
         await anyio.sleep(1 / (RATE * 0.8))
-    assert runs_of(limited, 'u') >= 20
+    assert count_runs(limited_site, 'u') >= 20
--- a/tests/edge/test_edge_returns.py
+++ b/tests/edge/test_edge_returns.py
@@ -1,14 +1,11 @@
-"""A store that comes back from an older copy of itself.
-
-What happens: the store loses the row of a term that the proxies know. From
-then on no proxy changes the group's primary any more, whatever fails: each
-attempt ends at once, since the row it reads is not the one it knows. Proxies
-that start then take the former primary for the present one, and terms are
-given out twice. Why: what the store acknowledged was taken for kept for ever.
-
-What showed it, in the first test before the mend: event 1304 each 0.1 to
-0.6 s with "the row has changed" at every proxy, no 1303, and no write in
-30 s.
+"""A store that is restored from an older copy of its data.
+
+The restored store lacks the row of a term that the proxies know. Proxies that
+relied on acknowledged rows being permanent could no longer replace a primary,
+since each attempt failed at once on a row other than the known one: event
+1304 every 0.1 to 0.6 s with "the row has changed" at every proxy, no event
+1303, and no write for 30 s. Proxies that started later took the former primary
+for the current one, and terms were assigned twice.
 """
 
 import anyio
@@ -16,13 +13,13 @@
 
 pytestmark = pytest.mark.anyio
 
-#: Time in which the proxies must have written their rows again, in seconds;
-#: the rest is for a machine that is busy with other tests.
-SOON = 9.0
+#: Time limit for the proxies to write their rows again, in seconds. The limit
+#: includes a margin for a machine that is busy with other tests.
+REWRITE_TIMEOUT_S = 9.0
 
 
 async def write(site, number: int = 0) -> str:
-    """Write once through a proxy; give the error's code."""
+    """Write once through a proxy and return the error code, or ''."""
     client = await site.client(number, 'db-primary', name=f'p{number}-')
     reply = await client.ask('WRITE x 1')
     await client.close()
@@ -30,8 +27,8 @@
 
 
 @pytest.fixture
-def written(until):
-    """Give a function that waits until every proxy takes a write."""
+def wait_writable(until):
+    """Return a function that waits until every proxy accepts a write."""
 
     async def wait(site) -> None:
         async def everywhere() -> bool:
@@ -48,11 +45,11 @@
 
 
 @pytest.fixture
-async def rolled_back(site, written):
-    """Give a site whose store has lost a change of the primary."""
+async def restored_site(site, wait_writable):
+    """Yield a site whose restored store lacks the last failover."""
     copy = site.store.copy()
     site.primary.crash()
-    await written(site)
+    await wait_writable(site)
     site.store.faults.refusing = True
     await anyio.sleep(0.5)
     site.come_back(copy)
@@ -61,55 +58,57 @@
 
 
 def assert_numbers_rise(site) -> None:
-    """Each promotion has a number of its own, above all before it."""
+    """Check that each promotion has a higher number than all before it."""
     numbers = [number for _, _, number in site.promotions]
     assert numbers == sorted(set(numbers))
 
 
-async def test_a_primary_is_still_replaced(rolled_back, written):
-    site = rolled_back
-    await written(site)
+async def test_a_primary_is_still_replaced(restored_site, wait_writable):
+    site = restored_site
+    await wait_writable(site)
     for instance in site.instances:
         if instance.state == 'crashed':
             site.restart_instance(instance)
     await anyio.sleep(1.0)
     former = site.primary
     former.crash()
-    await written(site)
+    await wait_writable(site)
     assert site.primary is not former
     assert_numbers_rise(site)
 
 
-async def test_the_row_is_written_again(rolled_back, until):
-    site = rolled_back
+async def test_the_row_is_written_again(restored_site, until):
+    site = restored_site
     leader = f'127.0.0.1:{site.primary.port}'
 
     async def names_the_primary() -> bool:
         row = site.store.get('tidegrade', 'groups/platform/svc-1') or b''
         return f'"primary":"{leader}"'.encode() in row
 
-    await until(names_the_primary, SOON)
+    await until(names_the_primary, REWRITE_TIMEOUT_S)
 
 
-async def test_writes_go_on_meanwhile(rolled_back):
+async def test_writes_go_on_meanwhile(restored_site):
     for number in range(12):
-        assert await write(rolled_back, number % 3) == ''
+        assert await write(restored_site, number % 3) == ''
         await anyio.sleep(0.2)
 
 
-async def test_proxies_that_all_restart_find_the_primary(rolled_back, written):
-    """Nobody knows the newest row; the instances' own word is left."""
-    site = rolled_back
+async def test_proxies_that_all_restart_find_the_primary(
+    restored_site, wait_writable
+):
+    """No proxy knows the newest row; only the instances know the primary."""
+    site = restored_site
     for number, proxy in enumerate(site.proxies):
         proxy.process.kill()
         proxy.process.wait()
         site.restart_proxy(number)
-    await written(site)
+    await wait_writable(site)
     assert_numbers_rise(site)
 
 
-async def test_a_proxy_that_was_registered_is_so_again(rolled_back, until):
-    site = rolled_back
+async def test_a_proxy_that_was_registered_is_so_again(restored_site, until):
+    site = restored_site
     copy = site.store.copy()
     for key in list(copy.rows):
         if key[1].startswith('proxies/'):
@@ -120,21 +119,21 @@
         rows = site.store.table('tidegrade')
         return sum(key.startswith('proxies/') for key in rows) == 3
 
-    await until(all_registered, SOON)
+    await until(all_registered, REWRITE_TIMEOUT_S)
 
 
-async def test_a_list_of_instances_is_taken_again(rolled_back, until):
-    """Its version is lower than the one that was known."""
-    site = rolled_back
+async def test_a_list_of_instances_is_taken_again(restored_site, until):
+    """The restored list has a lower version than the known one."""
+    site = restored_site
     copy = site.store.copy()
     site.store.version += 10_000
-    # Longer than the pause between two readings of the list.
+    # Longer than the interval between two reads of the list.
     await anyio.sleep(3.0)
     site.come_back(copy)
     old = site.primary
     old.state = 'draining'
 
-    async def left() -> bool:
+    async def replaced() -> bool:
         return site.primary is not old and await write(site) == ''
 
-    await until(left)
+    await until(replaced)
--- a/tests/edge/test_edge_secrets.py
+++ b/tests/edge/test_edge_secrets.py
@@ -1,8 +1,8 @@
-"""Keys of callers are in nothing that a proxy says.
+"""Callers' keys never appear in a proxy's logs.
 
-The word with which a caller opened its session was taken for its name: it
-stood in every log line of its requests, and named its line of waiting
-requests here and at the proxies that they were handed to. It is a secret.
+A proxy used the key that opens a session as the caller's name: the key was
+in each log line of the session's requests and named the caller's queue, also
+at the proxies that the requests were forwarded to.
 """
 
 import anyio
--- a/tests/edge/test_edge_sessions.py
+++ b/tests/edge/test_edge_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions through real proxies, as callers and instances see them."""
+"""Sessions through real proxies, checked at callers and instances."""
 
 import anyio
 import pytest
@@ -129,7 +129,7 @@
 
 
 async def test_a_slowed_replica_keeps_what_it_has_applied(site):
-    """Of the stand-in; found by the soak, seed 203."""
+    """Checks the stand-in: a longer lag hid applied entries (seed 203)."""
     client = await site.client()
     assert (await client.ask('WRITE x 1')).error == ''
     await anyio.sleep(0.1)
@@ -141,7 +141,7 @@
 
 
 async def test_a_connection_writes_after_a_transaction_that_reads(site):
-    """Of the stand-in; found by the soak, seed 203."""
+    """Checks the stand-in: a write failed after a read-only one (seed 203)."""
     conn = await edge.Client.connect(site.primary.port, site.cfg.service)
     assert conn is not None
     for text in ('BEGIN READ', 'READ x', 'COMMIT', 'WRITE x 1'):
--- a/tests/edge/test_edge_silence.py
+++ b/tests/edge/test_edge_silence.py
@@ -1,8 +1,8 @@
-"""Connections that go silent for good, without an end, while new ones work.
+"""Open connections that stop carrying data while new ones work.
 
-Found on a day on which all connections went silent: a feed that had gone
-silent was given up after 25 s only, and a configuration accepted meanwhile
-came into force that late.
+No connection is closed, so that only a timeout detects the fault. A proxy
+dropped a silent feed after 25 s only, and a configuration accepted in the
+meantime came into force that late.
 """
 
 import anyio
@@ -10,9 +10,10 @@
 
 pytestmark = pytest.mark.anyio
 
-#: A configuration is in force within 3 s of its acceptance on the users'
-#: platform; the rest is for a machine that is busy with other tests.
-SOON = 9.0
+#: Time limit for a change to take effect, in seconds. The users' platform
+#: requires a configuration to be in force within 3 s of its acceptance; the
+#: rest is a margin for a machine that is busy with other tests.
+EFFECT_TIMEOUT_S = 9.0
 
 
 def silence_store(site) -> None:
@@ -20,8 +21,8 @@
         relay.silence()
 
 
-async def refused(site, number: int) -> bool:
-    """Tell whether a proxy has the configuration without databases."""
+async def refuses_sessions(site, number: int) -> bool:
+    """Return whether a proxy applies the configuration without databases."""
     try:
         client = await site.client(number)
     except AssertionError:
@@ -36,20 +37,22 @@
 
     async def refused_everywhere() -> bool:
         numbers = range(len(relayed.proxies))
-        return all([await refused(relayed, number) for number in numbers])
+        return all(
+            [await refuses_sessions(relayed, number) for number in numbers]
+        )
 
-    await until(refused_everywhere, SOON)
+    await until(refused_everywhere, EFFECT_TIMEOUT_S)
 
 
 async def test_writes_go_on_once_connections_to_instances_are_silent(
     relayed, until
 ):
-    """It failed now and then beside load: a promotion was ordered.
+    """A healthy primary was replaced when its connections went silent.
 
-    What happens: a healthy primary counts as down as its connections go
-    silent. Why: a poll on one of them timed out as late as its silence
-    counted against the primary. `tests/core/test_silent_connections.py`
-    makes it come each time, and tells what showed it.
+    A poll on a silent connection timed out no earlier than the silence
+    counted as a failure of the primary. This test failed now and then under
+    load; `tests/core/test_silent_connections.py` reproduces the fault every
+    time.
     """
     for relay in relayed.relays.values():
         relay.silence()
@@ -63,7 +66,7 @@
                 return False
         return True
 
-    await until(written_everywhere, SOON)
+    await until(written_everywhere, EFFECT_TIMEOUT_S)
     assert relayed.promotions == []
 
 
@@ -90,21 +93,23 @@
     relayed.configure(routes=[])
 
     async def refused_there() -> bool:
-        return await refused(relayed, 1)
+        return await refuses_sessions(relayed, 1)
 
-    await until(refused_there, SOON)
+    await until(refused_there, EFFECT_TIMEOUT_S)
 
 
 async def test_a_change_that_feeds_did_not_hear_of_is_found(site, until):
-    """Found by a hunt, CONFIG: a feed that had ended went on after it."""
+    """A feed that ended without a change resumed after that change."""
     site.store.faults.deaf = True
     site.configure(routes=[])
-    # Longer than a feed waits; each ends without the change.
+    # Longer than a feed request waits, so each ends without the change.
     await anyio.sleep(6.0)
     site.store.faults.deaf = False
 
     async def refused_everywhere() -> bool:
         numbers = range(len(site.proxies))
-        return all([await refused(site, number) for number in numbers])
+        return all(
+            [await refuses_sessions(site, number) for number in numbers]
+        )
 
-    await until(refused_everywhere, SOON)
+    await until(refused_everywhere, EFFECT_TIMEOUT_S)
--- a/tests/edge/test_edge_tenants.py
+++ b/tests/edge/test_edge_tenants.py
@@ -1,4 +1,4 @@
-"""Tenants on the platform: keys at the door, connections of one tenant."""
+"""Tenants on the platform: API keys and connections per tenant."""
 
 import anyio
 import pytest
@@ -10,7 +10,7 @@
     'bode960': ['nirth5mgjy5rcpihhacr', 'uddedev3nax7u27gxpry'],
     'hufa113': ['zaqti8vm2bnc0lpwxeoq'],
 }
-STRANGER = 'kk7hd02mfhsyqlzvtbae'
+UNKNOWN_KEY = 'kk7hd02mfhsyqlzvtbae'
 
 
 def tenants(keys=KEYS, rate=1000):
@@ -27,15 +27,15 @@
 
 
 @pytest.fixture
-async def shared(site, until):
-    """Give a site whose databases are used by two tenants."""
+async def two_tenant_site(site, until):
+    """Return a site whose databases are used by two tenants."""
     site.configure(tenants=tenants())
 
     async def in_force() -> bool:
         for number in range(len(site.proxies)):
-            if not await opens(site, number, KEYS['hufa113'][0]):
+            if not await can_open_session(site, number, KEYS['hufa113'][0]):
                 return False
-            if await opens(site, number, STRANGER):
+            if await can_open_session(site, number, UNKNOWN_KEY):
                 return False
         return True
 
@@ -43,8 +43,8 @@
     return site
 
 
-async def opens(site, number: int, key: str) -> bool:
-    """Tell whether a proxy opens a session for a key."""
+async def can_open_session(site, number: int, key: str) -> bool:
+    """Return whether a proxy opens a session for a key."""
     port = site.proxies[number].front
     client = await edge.Client.connect(port, 'db-own', key=key)
     if client is not None:
@@ -52,86 +52,99 @@
     return client is not None
 
 
-async def test_every_key_runs_under_its_tenant_s_name(shared):
+async def test_every_key_runs_under_its_tenant_s_name(two_tenant_site):
     for name, held in KEYS.items():
         for number, key in enumerate(held):
-            client = await shared.client(number, name=f'{name}-', key=key)
+            client = await two_tenant_site.client(
+                number, name=f'{name}-', key=key
+            )
             assert (await client.ask('WRITE x 1')).error == ''
             assert (await client.ask('READ x')).rows == ('1',)
             await client.ask('BEGIN')
             await client.ask('WRITE y 2')
             assert (await client.ask('COMMIT')).error == ''
-    for instance in shared.instances:
+    for instance in two_tenant_site.instances:
         for run in instance.runs:
             name, _, _ = run.request_id.rpartition('-')
             assert name.startswith('w') or run.tenant == name
 
 
-async def test_a_connection_brings_one_tenant_s_statements(shared):
+async def test_a_connection_brings_one_tenant_s_statements(two_tenant_site):
     clients = [
-        (name, await shared.client(number, name=f'{name}-', key=held[0]))
+        (
+            name,
+            await two_tenant_site.client(number, name=f'{name}-', key=held[0]),
+        )
         for name, held in KEYS.items()
-        for number in range(len(shared.proxies))
+        for number in range(len(two_tenant_site.proxies))
     ]
     for _ in range(10):
         for _, client in clients:
             assert (await client.ask('READ x')).error == ''
             assert (await client.ask('WRITE x 1')).error == ''
-    for instance in shared.instances:
+    for instance in two_tenant_site.instances:
         seen: dict[int, set[str]] = {}
         for run in instance.runs:
             seen.setdefault(run.conn, set()).add(run.tenant)
         assert all(len(found) == 1 for found in seen.values())
 
 
-async def test_a_withdrawn_key_stops_in_an_open_session(shared, until):
-    gone, kept = KEYS['bode960']
-    client = await shared.client(1, key=gone)
-    other = await shared.client(2, key=kept)
+async def test_a_withdrawn_key_stops_in_an_open_session(
+    two_tenant_site, until
+):
+    withdrawn, kept = KEYS['bode960']
+    client = await two_tenant_site.client(1, key=withdrawn)
+    other = await two_tenant_site.client(2, key=kept)
     assert (await client.ask('READ x')).error == ''
     left = {**KEYS, 'bode960': [kept]}
-    shared.configure(tenants=tenants(left))
+    two_tenant_site.configure(tenants=tenants(left))
 
     async def refused() -> bool:
         return (await client.ask('READ x')).code == 'NOAUTH'
 
     await until(refused, 3.0)
-    assert not await opens(shared, 1, gone)
+    assert not await can_open_session(two_tenant_site, 1, withdrawn)
     assert (await other.ask('READ x')).error == ''
 
 
 async def test_a_new_key_works_where_the_store_turns_a_proxy_away(
-    running, tmp_path, until
+    run_site, tmp_path, until
 ):
-    async with running(tmp_path, edge.SiteSettings(relayed=True)) as site:
+    async with run_site(tmp_path, edge.SiteSettings(relayed=True)) as site:
         site.configure(tenants=tenants())
         for relay in site.store_relays[1:]:
             relay.refusing = True
             relay.reset()
         await anyio.sleep(0.2)
-        site.configure(tenants=tenants({'bode960': [STRANGER]}))
+        site.configure(tenants=tenants({'bode960': [UNKNOWN_KEY]}))
 
         async def follows() -> bool:
-            found = [await opens(site, n, STRANGER) for n in range(3)]
-            gone = KEYS['hufa113'][0]
-            kept = [await opens(site, n, gone) for n in range(3)]
+            found = [
+                await can_open_session(site, n, UNKNOWN_KEY) for n in range(3)
+            ]
+            withdrawn = KEYS['hufa113'][0]
+            kept = [
+                await can_open_session(site, n, withdrawn) for n in range(3)
+            ]
             return all(found) and not any(kept)
 
         await until(follows, 5.0)
 
 
-async def test_no_key_is_in_anything_that_a_proxy_says(shared):
-    secret = [key for held in KEYS.values() for key in held] + [STRANGER]
-    for number, key in enumerate(secret[:3]):
-        client = await shared.client(number, key=key)
+async def test_no_key_is_in_anything_that_a_proxy_says(two_tenant_site):
+    keys_in_use = [key for held in KEYS.values() for key in held] + [
+        UNKNOWN_KEY
+    ]
+    for number, key in enumerate(keys_in_use[:3]):
+        client = await two_tenant_site.client(number, key=key)
         await client.ask('WRITE x 1')
         await client.ask('READ x')
         await client.ask('EXEC nothing x')
-    await opens(shared, 0, STRANGER)
+    await can_open_session(two_tenant_site, 0, UNKNOWN_KEY)
     await anyio.sleep(0.1)
-    said = list(map(shared.log_of, range(3)))
-    said += [await shared.metrics_of(number) for number in range(3)]
-    for instance in shared.instances:
-        said += instance.tenants
-    for key in secret:
-        assert not any(key in text for text in said)
+    texts = list(map(two_tenant_site.log_of, range(3)))
+    texts += [await two_tenant_site.metrics_of(number) for number in range(3)]
+    for instance in two_tenant_site.instances:
+        texts += instance.tenants
+    for key in keys_in_use:
+        assert not any(key in text for text in texts)
