--- a/tests/system/conftest.py
+++ b/tests/system/conftest.py
@@ -1,4 +1,4 @@
-"""Real processes: the stand-ins, the platform and the proxies."""
+"""Fixtures that run the stand-ins, the platform and proxies as processes."""
 
 import contextlib
 import pathlib
@@ -23,13 +23,13 @@
 
 TABLE = 'CREATE TABLE IF NOT EXISTS item (id text PRIMARY KEY, v bigint)'
 
-#: Time that something may take to come about, in seconds. It only bounds
-#: a failing test; no verdict depends on how fast the machine is.
-PATIENCE = 30.0
+#: Time limit for a condition to become true, in seconds. The limit only ends
+#: a failing test; no result depends on the speed of the machine.
+CONDITION_TIMEOUT_S = 30.0
 
 
 class Site:
-    """A running deployment and callers of it."""
+    """A running deployment, with callers of its proxies."""
 
     def __init__(
         self, deployment: _deployment.Deployment, http: httpx.AsyncClient
@@ -37,7 +37,7 @@
         self.deployment = deployment
         self.http = http
         self.rng = random.Random(1)
-        # What a balancer would offer; every caller shares it.
+        # The proxies that a load balancer would offer, shared by all callers.
         self.urls = [proxy.url for proxy in deployment.proxies]
 
     def caller(self, tenant: str = 'tenant-a') -> _caller.Caller:
@@ -45,10 +45,10 @@
             self.http, self.urls, 'kanwa', 'mains-1', tenant, self.rng
         )
 
-    async def until(self, holds) -> None:
+    async def until(self, predicate) -> None:
         """Wait until an asynchronous condition holds."""
-        with anyio.fail_after(PATIENCE):
-            while not await holds():
+        with anyio.fail_after(CONDITION_TIMEOUT_S):
+            while not await predicate():
                 await anyio.sleep(0.02)
 
     async def group_status(self, index: int = 0) -> dict:
@@ -64,7 +64,7 @@
 
 @contextlib.asynccontextmanager
 async def _run(folder: pathlib.Path, plan: _plan.Plan):
-    """Run a deployment that takes writes, with one table."""
+    """Run a deployment that accepts writes, with one table."""
     deployment = _deployment.Deployment(plan, folder)
     try:
         await deployment.start()
@@ -72,8 +72,8 @@
         await deployment.until_writable()
         async with httpx.AsyncClient(trust_env=False) as http:
             made = Site(deployment, http)
-            said = await made.caller().write([(TABLE, [])])
-            assert said.done, said
+            reply = await made.caller().write([(TABLE, [])])
+            assert reply.done, reply
             yield made
     finally:
         deployment.stop()
@@ -81,14 +81,14 @@
 
 @pytest.fixture
 async def site(tmp_path: pathlib.Path):
-    """Give a deployment that takes writes, with one table."""
+    """Yield a deployment that accepts writes, with one table."""
     async with _run(tmp_path, PLAN) as made:
         yield made
 
 
 @pytest.fixture
 async def limited(tmp_path: pathlib.Path):
-    """Give a deployment whose tenants have 20 requests a second."""
+    """Yield a deployment with a limit of 20 requests/s for each tenant."""
     plan = attrs.evolve(PLAN, requests_per_s=20.0)
     async with _run(tmp_path, plan) as made:
         yield made
--- a/tests/system/test_doors.py
+++ b/tests/system/test_doors.py
@@ -1,4 +1,4 @@
-"""Every door of a proxy: what is wrong gets a clear error, nothing dies."""
+"""Each interface of a proxy answers invalid input with a clear error."""
 
 import socket
 
@@ -27,17 +27,17 @@
 
 
 async def test_callers_get_clear_errors(site):
-    bad = (400, 'bad_request', 'not_run')
-    closed = (401, 'unauthorized', 'not_run')
+    bad_request = (400, 'bad_request', 'not_run')
+    unauthorized = (401, 'unauthorized', 'not_run')
 
     for header in ('', 'Bearer wrong', 'Basic x', 'Bearer ' + 'x' * 5000):
         answer = await post(site, READ, Authorization=header)
-        assert problem(answer) == closed
+        assert problem(answer) == unauthorized
     other = _deployment.tenant_key('rodoviva', 'tenant-a')
     answer = await post(site, READ, Authorization=f'Bearer {other}')
-    assert problem(answer) == closed
+    assert problem(answer) == unauthorized
 
-    wrong = [
+    invalid_bodies = [
         {**READ, 'mode': 'erase'},
         {**READ, 'statements': []},
         {**READ, 'statements': [{'sql': '  '}]},
@@ -49,17 +49,17 @@
         {**READ, 'max_age_s': -1},
         {**READ, 'statements': [{'sql': 'SELECT 1'}] * 51},
     ]
-    for body in wrong:
-        assert problem(await post(site, body)) == bad, body
+    for body in invalid_bodies:
+        assert problem(await post(site, body)) == bad_request, body
     answer = await post(site, {'mode': 'read', 'statements': [{'sql': 7}]})
     assert '$.statements[0].sql' in answer.json()['detail']
 
     token = {'Tidegrade-Session': '!!!'}
-    assert problem(await post(site, READ, **token)) == bad
+    assert problem(await post(site, READ, **token)) == bad_request
     deadline = {'Tidegrade-Deadline-Ms': 'soon'}
-    assert problem(await post(site, READ, **deadline)) == bad
+    assert problem(await post(site, READ, **deadline)) == bad_request
     key = {'Idempotency-Key': 'k'}
-    assert problem(await post(site, READ, **key)) == bad
+    assert problem(await post(site, READ, **key)) == bad_request
 
     large = {'mode': 'read', 'statements': [{'sql': 'x' * 300_000}]}
     answer = await post(site, large)
@@ -80,9 +80,9 @@
 async def test_raw_bytes_do_no_harm(site):
     proxy = site.deployment.proxies[0]
     for port in (proxy.port, proxy.peer_port):
-        for raw in (b'\0' * 100, b'\xff' * 5000, b'GET / HTTP/9\r\n\r\n'):
+        for payload in (b'\0' * 100, b'\xff' * 5000, b'GET / HTTP/9\r\n\r\n'):
             with socket.create_connection(('127.0.0.1', port)) as sock:
-                sock.sendall(raw)
+                sock.sendall(payload)
                 sock.settimeout(5)
                 while True:
                     try:
--- a/tests/system/test_failures.py
+++ b/tests/system/test_failures.py
@@ -1,4 +1,4 @@
-"""Failures of real processes, seen by callers."""
+"""Failures of real processes, as callers observe them."""
 
 import anyio
 import pytest
@@ -15,20 +15,20 @@
 
 
 class Load:
-    """Writes from several sessions until it is stopped."""
+    """Writes from several sessions until the load is stopped."""
 
     def __init__(self, site, sessions: int = 4) -> None:
         self.site = site
         self.ledger = _ledger.Ledger()
-        self.until = anyio.Event()
+        self.stopping = anyio.Event()
         self._sessions = sessions
-        self.faults: list[Exception] = []
+        self.errors: list[Exception] = []
 
     async def run(self) -> None:
         try:
             await self._run()
         except* Exception as group:
-            self.faults = list(group.exceptions)
+            self.errors = list(group.exceptions)
 
     async def _run(self) -> None:
         async with anyio.create_task_group() as tasks:
@@ -45,25 +45,25 @@
                     session,
                     _workload.agent,
                     0.01,
-                    self.until,
+                    self.stopping,
                 )
 
-    def done(self) -> int:
+    def count_done(self) -> int:
         return self.ledger.count('done')
 
-    async def more(self, count: int) -> None:
-        """Wait until that many more writes are done."""
-        goal = self.done() + count
+    async def wait_for_writes(self, count: int) -> None:
+        """Wait until `count` more writes are done."""
+        target = self.count_done() + count
 
         async def reached() -> bool:
-            assert not self.faults
-            return self.done() >= goal
+            assert not self.errors
+            return self.count_done() >= target
 
         await self.site.until(reached)
 
     def check(self) -> None:
-        """Compare the callers' account with the databases'."""
-        assert not self.faults
+        """Compare the callers' records with the databases' contents."""
+        assert not self.errors
         groups = self.site.deployment.plan.groups
         verdict = _ledger.compare(self.ledger, self.site.deployment, groups)
         assert verdict == _ledger.Verdict(0, 0, 0)
@@ -73,56 +73,56 @@
 @pytest.fixture
 async def load(site):
     for table in _workload.TABLES:
-        said = await site.caller().write([(table, [])])
-        assert said.done, said
+        reply = await site.caller().write([(table, [])])
+        assert reply.done, reply
     made = Load(site)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(made.run)
-        await made.more(20)
+        await made.wait_for_writes(20)
         yield made
-        made.until.set()
+        made.stopping.set()
 
 
-async def finish(load) -> None:
-    load.until.set()
+async def stop_and_check(load) -> None:
+    load.stopping.set()
     await anyio.sleep(0.5)
     load.check()
 
 
 async def test_a_killed_primary_is_replaced(site, load):
     site.deployment.instances[0].process.kill()
-    await load.more(40)
+    await load.wait_for_writes(40)
     assert (await site.group_status())['term'] == 2
-    await finish(load)
+    await stop_and_check(load)
 
 
 async def test_a_frozen_primary_is_replaced_and_stays_out(site, load):
     frozen = site.deployment.instances[0]
     frozen.process.freeze()
-    await load.more(40)
+    await load.wait_for_writes(40)
     frozen.process.thaw()
-    await load.more(40)
+    await load.wait_for_writes(40)
     status = await site.group_status()
     assert status['primary'] != frozen.name
-    await finish(load)
+    await stop_and_check(load)
 
 
 async def test_a_frozen_proxy_acknowledges_nothing_late(site, load):
-    """Frozen for longer than a permission, while the term changes."""
+    """The proxy is frozen longer than a permission while the term changes."""
     proxy = site.deployment.proxies[0]
     proxy.process.freeze()
     site.deployment.instances[0].process.kill()
-    await load.more(20)
+    await load.wait_for_writes(20)
     proxy.process.thaw()
-    await load.more(40)
-    await finish(load)
+    await load.wait_for_writes(40)
+    await stop_and_check(load)
 
 
 async def test_writes_go_on_without_the_platform(site, load):
     await site.deployment.set_platform_faults(down=True)
-    await load.more(100)
+    await load.wait_for_writes(100)
     await site.deployment.set_platform_faults(down=False)
-    await finish(load)
+    await stop_and_check(load)
 
 
 async def test_a_failover_waits_for_the_platform(site, load):
@@ -131,29 +131,29 @@
     await anyio.sleep(1.0)
     assert (await site.group_status())['term'] == 1
     await site.deployment.set_platform_faults(down=False)
-    await load.more(20)
-    await finish(load)
+    await load.wait_for_writes(20)
+    await stop_and_check(load)
 
 
 async def test_a_lost_answer_of_the_platform_is_settled(site, load):
     await site.deployment.set_platform_faults(lose_answers=2)
     site.deployment.instances[0].process.kill()
-    await load.more(20)
-    await finish(load)
+    await load.wait_for_writes(20)
+    await stop_and_check(load)
 
 
 async def test_a_killed_proxy_loses_nothing(site, load):
     site.deployment.proxies[0].process.kill()
-    await load.more(40)
-    await finish(load)
+    await load.wait_for_writes(40)
+    await stop_and_check(load)
 
 
 async def test_a_draining_proxy_cuts_nothing(site, load):
-    """Requests in flight and an open transaction end as they should."""
+    """Requests in flight and an open transaction complete normally."""
     proxy = site.deployment.proxies[0]
     caller = site.caller()
-    said = await caller.post('/transactions', {}, url=proxy.url)
-    path = f'/transactions/{said.transaction}'
+    reply = await caller.post('/transactions', {}, url=proxy.url)
+    path = f'/transactions/{reply.transaction}'
     proxy.process.terminate()
 
     async def not_ready() -> bool:
@@ -164,26 +164,26 @@
     site.urls.remove(proxy.url)
     step = {'statements': [{'sql': PUT, 'params': ['drain', 1]}]}
     url = site.urls[0]
-    said = await caller.post(f'{path}/statements', step, url=url)
-    assert said.done, said
-    said = await caller.post(f'{path}/commit', {}, url=url)
-    assert said.done, said
+    reply = await caller.post(f'{path}/statements', step, url=url)
+    assert reply.done, reply
+    reply = await caller.post(f'{path}/commit', {}, url=url)
+    assert reply.done, reply
 
     async def ended() -> bool:
         return not proxy.process.alive
 
     await site.until(ended)
     assert proxy.process.popen.returncode == 0
-    said = await caller.read(GET, ['drain'], 'own', url=url)
-    assert said.rows == ((1,),)
-    cut = [
+    reply = await caller.read(GET, ['drain'], 'own', url=url)
+    assert reply.rows == ((1,),)
+    unanswered = [
         s
         for write in load.ledger.writes
         for s in write.said
         if s.code == 'no_answer'
     ]
-    assert not cut
-    await finish(load)
+    assert not unanswered
+    await stop_and_check(load)
 
 
 async def test_a_leaving_primary_gets_no_new_work(site, load):
@@ -194,37 +194,37 @@
         return (await site.group_status())['primary'] != leaving.name
 
     await site.until(replaced)
-    await load.more(40)
-    recent = [said.endpoint for said in load.ledger.acks('mains-1')][-20:]
+    await load.wait_for_writes(40)
+    recent = [reply.endpoint for reply in load.ledger.acks('mains-1')][-20:]
     assert leaving.name not in recent
-    await finish(load)
+    await stop_and_check(load)
 
 
 async def test_a_leaving_replica_gets_no_new_reads(site, load):
     leaving = site.deployment.instances[1]
     await site.deployment.publish_vms(frozenset({leaving.name}))
 
-    async def known() -> bool:
+    async def known_to_all() -> bool:
         shown = [
             (await site.group_status(index))['endpoints'][leaving.name]
             for index in range(3)
         ]
         return all(endpoint['leaving'] for endpoint in shown)
 
-    await site.until(known)
+    await site.until(known_to_all)
     caller = site.caller()
     seen = [
         (await caller.read(GET, ['x'], 'dashboard')).endpoint
         for _ in range(40)
     ]
     assert leaving.name not in seen
-    await finish(load)
+    await stop_and_check(load)
 
 
 async def test_connections_never_pass_the_cap(site, load):
-    await load.more(60)
+    await load.wait_for_writes(60)
     for instance in site.deployment.instances:
         state = await site.deployment.instance_state(instance)
         assert state['peak_connections'] <= 27
         assert state['refused_connections'] == 0
-    await finish(load)
+    await stop_and_check(load)
--- a/tests/system/test_operators.py
+++ b/tests/system/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators and their files, through the command line."""
+"""Configuration by operators, through the command line."""
 
 import json
 import sys
@@ -10,7 +10,7 @@
 pytestmark = pytest.mark.anyio
 
 
-async def tidegrade(site, *args: str, index: int = 0):
+async def run_command(site, *args: str, index: int = 0):
     return await anyio.run_process(
         [sys.executable, '-m', 'tidegrade', *args],
         env={
@@ -22,8 +22,8 @@
     )
 
 
-def changed(site, name: str) -> str:
-    """Write a file that adds a read class, and give its path."""
+def write_config(site, name: str) -> str:
+    """Write a configuration with one more read class and return its path."""
     plain = site.deployment.document()
     group = plain['sites']['kanwa']['groups']['mains-1']
     group['read_classes'][name] = {'max_age_s': 9.0}
@@ -33,29 +33,29 @@
 
 
 async def test_a_file_is_applied_everywhere_or_nowhere(site):
-    file = changed(site, 'fresh')
-    done = await tidegrade(site, 'config', 'diff', file)
+    file = write_config(site, 'fresh')
+    done = await run_command(site, 'config', 'diff', file)
     assert done.returncode == 1
     assert b'+' in done.stdout
-    done = await tidegrade(site, 'config', 'apply', file, '--json')
+    done = await run_command(site, 'config', 'apply', file, '--json')
     assert done.returncode == 0, done.stderr
     assert json.loads(done.stdout) == {'version': 2, 'behind': []}
-    done = await tidegrade(site, 'config', 'diff', file)
+    done = await run_command(site, 'config', 'diff', file)
     assert (done.returncode, done.stdout) == (0, b'')
     for index in range(3):
-        done = await tidegrade(site, 'config', 'show', '--json', index=index)
+        done = await run_command(site, 'config', 'show', '--json', index=index)
         assert json.loads(done.stdout)['version'] == 2
-    done = await tidegrade(site, 'config', 'history', '--json')
+    done = await run_command(site, 'config', 'history', '--json')
     assert [e['version'] for e in json.loads(done.stdout)] == [2, 1]
 
 
 async def test_one_of_two_operators_wins_and_the_other_is_told(site):
-    files = [changed(site, 'one'), changed(site, 'two')]
+    files = [write_config(site, 'one'), write_config(site, 'two')]
     done = []
 
     async def apply(index: int) -> None:
         done.append(
-            await tidegrade(
+            await run_command(
                 site,
                 'config',
                 'apply',
@@ -70,25 +70,25 @@
         tasks.start_soon(apply, 0)
         tasks.start_soon(apply, 1)
     assert sorted(d.returncode for d in done) == [0, 3]
-    loser = next(d for d in done if d.returncode == 3)
-    assert b'version 2 was applied first, by trial' in loser.stderr
-    shown = await tidegrade(site, 'config', 'show', index=2)
+    refused = next(d for d in done if d.returncode == 3)
+    assert b'version 2 was applied first, by trial' in refused.stderr
+    shown = await run_command(site, 'config', 'show', index=2)
     assert (b'"one"' in shown.stdout) != (b'"two"' in shown.stdout)
 
 
 async def test_a_lost_answer_neither_repeats_nor_fails(site):
     await site.deployment.set_platform_faults(lose_answers=3)
-    done = await tidegrade(
-        site, 'config', 'apply', changed(site, 'lost'), '--json'
+    done = await run_command(
+        site, 'config', 'apply', write_config(site, 'lost'), '--json'
     )
     assert done.returncode == 0, done.stderr
     assert json.loads(done.stdout)['version'] == 2
 
 
 async def test_repeating_an_apply_by_its_id_changes_nothing(site):
-    args = ('config', 'apply', changed(site, 'again'), '--apply-id', 'x')
+    args = ('config', 'apply', write_config(site, 'again'), '--apply-id', 'x')
     for _ in range(2):
-        done = await tidegrade(site, *args, '--json')
+        done = await run_command(site, *args, '--json')
         assert json.loads(done.stdout)['version'] == 2
 
 
@@ -99,24 +99,26 @@
     group['poll_interval_s'] = 'often'
     file = site.deployment.folder / 'wrong.json'
     file.write_text(json.dumps(plain))
-    done = await tidegrade(site, 'config', 'check', str(file))
+    done = await run_command(site, 'config', 'check', str(file))
     assert done.returncode == 5
     assert b'$.sites' in done.stderr
     assert b'poll_interval_s' in done.stderr
-    done = await tidegrade(site, 'config', 'apply', str(file))
+    done = await run_command(site, 'config', 'apply', str(file))
     assert done.returncode == 5
 
 
 async def test_an_unreachable_platform_is_said_so(site):
     await site.deployment.set_platform_faults(down=True)
-    done = await tidegrade(site, 'config', 'apply', changed(site, 'down'))
+    done = await run_command(
+        site, 'config', 'apply', write_config(site, 'down')
+    )
     assert done.returncode in (4, 8)
-    shown = await tidegrade(site, 'config', 'show', '--json', index=1)
+    shown = await run_command(site, 'config', 'show', '--json', index=1)
     assert json.loads(shown.stdout)['version'] == 1
 
 
 async def test_a_store_that_went_back_changes_nothing(site):
-    await tidegrade(site, 'config', 'apply', changed(site, 'newer'))
+    await run_command(site, 'config', 'apply', write_config(site, 'newer'))
     state = (
         await site.http.get(f'{site.deployment.platform_url}/state')
     ).json()
@@ -127,21 +129,23 @@
     )
     await anyio.sleep(2.5)
     for index in range(3):
-        shown = await tidegrade(site, 'config', 'show', '--json', index=index)
+        shown = await run_command(
+            site, 'config', 'show', '--json', index=index
+        )
         assert json.loads(shown.stdout)['version'] == 2
 
 
 async def test_a_proxy_cut_off_from_the_platform_learns_from_peers(site):
-    cut = site.deployment.proxies[2].name
-    await site.deployment.set_platform_faults(cut=[cut])
-    done = await tidegrade(
-        site, 'config', 'apply', changed(site, 'peer'), '--json'
+    isolated = site.deployment.proxies[2].name
+    await site.deployment.set_platform_faults(cut=[isolated])
+    done = await run_command(
+        site, 'config', 'apply', write_config(site, 'peer'), '--json'
     )
     assert json.loads(done.stdout) == {'version': 2, 'behind': []}
 
 
 async def test_drain_by_command(site):
-    done = await tidegrade(site, 'drain')
+    done = await run_command(site, 'drain')
     assert done.returncode == 0
     process = site.deployment.proxies[0].process
 
--- a/tests/system/test_quotas.py
+++ b/tests/system/test_quotas.py
@@ -1,7 +1,7 @@
-"""A tenant's limit holds over all proxies before PostgreSQL, too.
+"""A tenant's limit holds across all proxies in front of PostgreSQL, too.
 
-Each proxy limited tenants by itself, so that three handed out three times
-the limit.
+When each proxy limits tenants on its own, three proxies together grant three
+times the limit.
 """
 
 import time
@@ -13,13 +13,13 @@
 pytestmark = pytest.mark.anyio
 
 RATE = 20.0
-#: Time after which a keeper grants the whole limit, in seconds, and a burst
-#: is saved up.
+#: Time after which a new quota owner grants the whole limit and a burst has
+#: accumulated, in seconds.
 NEW_OWNER_PERIOD_S = 4.0
 
 
-async def statement(site, url: str):
-    """Have a read served for a tenant that nobody else uses."""
+async def send_read(site, url: str):
+    """Send a read for a tenant that no other caller uses."""
     key = _deployment.tenant_key('kanwa', 'tenant-b')
     return await site.http.post(
         f'{url}/v1/sites/kanwa/groups/mains-1/statements',
@@ -28,21 +28,21 @@
     )
 
 
-async def settled(site) -> None:
-    """Have the tenant's keeper chosen, and wait until it isn't new."""
-    await statement(site, site.urls[0])
+async def wait_full_grants(site) -> None:
+    """Wait until the tenant has a quota owner that grants the whole limit."""
+    await send_read(site, site.urls[0])
     await anyio.sleep(NEW_OWNER_PERIOD_S)
 
 
 async def test_all_proxies_together_keep_the_limit(limited):
     done = 0
-    await settled(limited)
+    await wait_full_grants(limited)
     began = time.monotonic()
 
     async def flood(url: str) -> None:
         nonlocal done
         while True:
-            answer = await statement(limited, url)
+            answer = await send_read(limited, url)
             if answer.status_code == 200:
                 done += 1
                 continue
--- a/tests/system/test_sessions.py
+++ b/tests/system/test_sessions.py
@@ -1,4 +1,4 @@
-"""Sessions and transactions that roam over real proxies."""
+"""Sessions and transactions whose requests go to different proxies."""
 
 import anyio
 import pytest
@@ -12,10 +12,10 @@
 GET = 'SELECT v FROM item WHERE id = $1'
 
 
-async def begin(caller, url):
-    said = await caller.post('/transactions', {}, url=url)
-    assert said.done, said
-    return f'/transactions/{said.transaction}'
+async def begin_transaction(caller, url):
+    reply = await caller.post('/transactions', {}, url=url)
+    assert reply.done, reply
+    return f'/transactions/{reply.transaction}'
 
 
 def statement(sql, *params):
@@ -24,69 +24,69 @@
 
 async def test_a_session_reads_its_writes_on_any_proxy(site):
     caller = site.caller()
-    for turn in range(30):
-        url = site.urls[turn % 3]
-        said = await caller.write([(PUT, ['x', turn])], url=url)
-        assert said.done, said
-        said = await caller.read(
-            GET, ['x'], 'own', url=site.urls[(turn + 1) % 3]
+    for number in range(30):
+        url = site.urls[number % 3]
+        reply = await caller.write([(PUT, ['x', number])], url=url)
+        assert reply.done, reply
+        reply = await caller.read(
+            GET, ['x'], 'own', url=site.urls[(number + 1) % 3]
         )
-        assert said.rows == ((turn,),)
+        assert reply.rows == ((number,),)
 
 
 async def test_a_lagging_replica_never_answers_a_newer_session(site):
     for instance in site.deployment.instances[1:]:
         await site.deployment.set_instance_faults(instance, apply_delay_s=60.0)
     caller = site.caller()
-    said = await caller.write([(PUT, ['x', 5])])
-    assert said.done, said
-    said = await caller.read(GET, ['x'], 'own')
-    assert said.rows == ((5,),)
-    assert not said.from_replica
+    reply = await caller.write([(PUT, ['x', 5])])
+    assert reply.done, reply
+    reply = await caller.read(GET, ['x'], 'own')
+    assert reply.rows == ((5,),)
+    assert not reply.from_replica
 
 
 async def test_a_transaction_goes_on_at_another_proxy(site):
     caller = site.caller()
-    path = await begin(caller, site.urls[0])
-    said = await caller.post(
+    path = await begin_transaction(caller, site.urls[0])
+    reply = await caller.post(
         f'{path}/statements', statement(PUT, 't', 1), url=site.urls[1]
     )
-    assert said.done, said
+    assert reply.done, reply
     outside = await site.caller().read(GET, ['t'], 'latest')
     assert outside.rows == ()
-    said = await caller.post(f'{path}/commit', {}, url=site.urls[2])
-    assert said.done, said
-    said = await caller.read(GET, ['t'], 'own')
-    assert said.rows == ((1,),)
-    said = await caller.post(f'{path}/commit', {}, url=site.urls[1])
-    assert (said.outcome, said.code) == ('not_run', 'transaction_unknown')
+    reply = await caller.post(f'{path}/commit', {}, url=site.urls[2])
+    assert reply.done, reply
+    reply = await caller.read(GET, ['t'], 'own')
+    assert reply.rows == ((1,),)
+    reply = await caller.post(f'{path}/commit', {}, url=site.urls[1])
+    assert (reply.outcome, reply.code) == ('not_run', 'transaction_unknown')
 
 
 async def test_a_rollback_leaves_nothing(site):
     caller = site.caller()
-    path = await begin(caller, site.urls[0])
+    path = await begin_transaction(caller, site.urls[0])
     await caller.post(f'{path}/statements', statement(PUT, 'r', 1))
-    said = await caller.post(f'{path}/rollback', {}, url=site.urls[2])
-    assert said.done, said
+    reply = await caller.post(f'{path}/rollback', {}, url=site.urls[2])
+    assert reply.done, reply
     assert (await caller.read(GET, ['r'], 'latest')).rows == ()
 
 
 async def test_a_transaction_belongs_to_its_tenant(site):
-    path = await begin(site.caller('tenant-a'), site.urls[0])
-    thief = site.caller('tenant-b')
-    said = await thief.post(f'{path}/commit', {}, url=site.urls[0])
-    assert (said.outcome, said.code) == ('not_run', 'transaction_unknown')
+    path = await begin_transaction(site.caller('tenant-a'), site.urls[0])
+    other_tenant = site.caller('tenant-b')
+    reply = await other_tenant.post(f'{path}/commit', {}, url=site.urls[0])
+    assert (reply.outcome, reply.code) == ('not_run', 'transaction_unknown')
 
 
 async def test_two_requests_never_share_a_transaction(site):
     caller = site.caller()
-    path = await begin(caller, site.urls[0])
+    path = await begin_transaction(caller, site.urls[0])
     instance = site.deployment.instances[0]
     await site.deployment.set_instance_faults(instance, statement_cost_s=0.2)
-    said = []
+    replies = []
 
-    async def step(index: int) -> None:
-        said.append(
+    async def send_statement(index: int) -> None:
+        replies.append(
             await caller.post(
                 f'{path}/statements',
                 statement(PUT, f'two-{index}', index),
@@ -95,40 +95,40 @@
         )
 
     async with anyio.create_task_group() as tasks:
-        tasks.start_soon(step, 0)
-        tasks.start_soon(step, 1)
-    outcomes = sorted((s.outcome, s.code) for s in said)
+        tasks.start_soon(send_statement, 0)
+        tasks.start_soon(send_statement, 1)
+    outcomes = sorted((s.outcome, s.code) for s in replies)
     assert outcomes == [('done', ''), ('not_run', 'transaction_busy')]
 
 
 async def test_a_failed_statement_rolls_its_transaction_back(site):
     caller = site.caller()
-    path = await begin(caller, site.urls[0])
+    path = await begin_transaction(caller, site.urls[0])
     await caller.post(f'{path}/statements', statement(PUT, 'f', 1))
-    said = await caller.post(
+    reply = await caller.post(
         f'{path}/statements', statement('INSERT INTO nowhere VALUES (1)')
     )
-    assert (said.outcome, said.code) == ('not_run', 'statement_failed')
-    said = await caller.post(f'{path}/commit', {})
-    assert said.code == 'transaction_unknown'
+    assert (reply.outcome, reply.code) == ('not_run', 'statement_failed')
+    reply = await caller.post(f'{path}/commit', {})
+    assert reply.code == 'transaction_unknown'
     assert (await caller.read(GET, ['f'], 'latest')).rows == ()
 
 
 async def test_a_transaction_of_a_dead_proxy_is_rolled_back(site):
     caller = site.caller()
-    path = await begin(caller, site.urls[0])
+    path = await begin_transaction(caller, site.urls[0])
     await caller.post(
         f'{path}/statements', statement(PUT, 'd', 1), url=site.urls[0]
     )
     site.deployment.proxies[0].process.kill()
-    said = await caller.post(f'{path}/commit', {}, url=site.urls[1])
-    assert said.outcome in ('not_run', 'unknown'), said
+    reply = await caller.post(f'{path}/commit', {}, url=site.urls[1])
+    assert reply.outcome in ('not_run', 'unknown'), reply
 
-    async def gone() -> bool:
-        said = await caller.write([(PUT, ['d2', 1])], url=site.urls[1])
-        return said.done
+    async def writable() -> bool:
+        reply = await caller.write([(PUT, ['d2', 1])], url=site.urls[1])
+        return reply.done
 
-    await site.until(gone)
+    await site.until(writable)
     read = await caller.read(GET, ['d'], 'latest', url=site.urls[1])
     assert read.rows == ()
 
@@ -136,10 +136,10 @@
 async def test_a_key_runs_once_at_two_proxies_at_once(site):
     caller = site.caller()
     count = "SELECT count(*) FROM item WHERE id LIKE 'k%'"
-    said = []
+    replies = []
 
-    async def sell(index: int) -> None:
-        said.append(
+    async def insert(index: int) -> None:
+        replies.append(
             await caller.write(
                 [('INSERT INTO item (id, v) VALUES ($1, $2)', ['k', 1])],
                 key='one-sale',
@@ -149,9 +149,9 @@
 
     async with anyio.create_task_group() as tasks:
         for index in range(3):
-            tasks.start_soon(sell, index)
-    assert [s.outcome for s in said] == ['done'] * 3
-    assert sorted(s.replayed for s in said) == [False, True, True]
+            tasks.start_soon(insert, index)
+    assert [s.outcome for s in replies] == ['done'] * 3
+    assert sorted(s.replayed for s in replies) == [False, True, True]
     assert (await caller.read(count, [], 'latest')).rows == ((1,),)
     other = await caller.write([(PUT, ['k', 2])], key='one-sale')
     assert (other.outcome, other.code) == (
@@ -162,7 +162,7 @@
 
 async def test_a_result_over_the_limit_is_refused(site):
     caller = site.caller()
-    said = await caller.write([(PUT, ['x', 1])])
-    big = 'SELECT hex(zeroblob(600000)) AS v FROM item WHERE id = $1'
-    said = await caller.read(big, ['x'], 'own')
-    assert (said.outcome, said.code) == ('not_run', 'result_too_large')
+    reply = await caller.write([(PUT, ['x', 1])])
+    large_query = 'SELECT hex(zeroblob(600000)) AS v FROM item WHERE id = $1'
+    reply = await caller.read(large_query, ['x'], 'own')
+    assert (reply.outcome, reply.code) == ('not_run', 'result_too_large')
