--- a/tests/edge/test_edge_failures.py
+++ b/tests/edge/test_edge_failures.py
@@ -46,7 +46,7 @@
     assert len(old.log) == log_length or old.role == 'replica'
 
 
-async def test_a_primary_that_no_longer_leads_is_replaced(site, until):
+async def test_a_demoted_primary_is_replaced(site, until):
     """A group was left without a primary that accepts writes.
 
     A delayed order demotes the primary, which still answers each poll but
@@ -62,7 +62,7 @@
     assert len(site.promotions) == 1
 
 
-async def test_the_other_replica_follows_again(site, until):
+async def test_the_other_replica_follows_the_new_primary(site, until):
     site.primary.crash()
 
     async def all_follow() -> bool:
@@ -105,7 +105,7 @@
     await until(refused)
 
 
-async def test_a_feed_whose_history_is_gone_starts_again(site, until):
+async def test_a_feed_restarts_when_its_history_is_gone(site, until):
     site.store.faults.forgotten = site.store.version + 10
     site.configure(routes=[])
 
@@ -119,7 +119,7 @@
     await until(refused)
 
 
-async def test_a_proxy_that_stops_ends_sessions_at_rest_only(site):
+async def test_a_stopping_proxy_ends_idle_sessions_only(site):
     client = await site.client()
     await client.ask('BEGIN')
     await client.ask('WRITE x 1')
@@ -131,7 +131,7 @@
     assert site.proxies[0].process.wait() == 0
 
 
-async def test_a_killed_proxy_comes_back_under_a_new_name(site, until):
+async def test_a_killed_proxy_restarts_under_a_new_name(site, until):
     rows = site.store.table('tidegrade')
     former = json.loads(rows['proxies/front-0'])['proxy']
     site.proxies[0].send(signal.SIGKILL)
@@ -158,7 +158,7 @@
     await until(former_forgotten)
 
 
-async def test_a_draining_primary_is_left(site, until):
+async def test_a_draining_primary_is_replaced(site, until):
     old = site.primary
     old.state = 'draining'
 
@@ -168,7 +168,7 @@
     await until(left)
 
 
-async def test_a_reload_cuts_nothing_and_bad_settings_change_nothing(site):
+async def test_a_reload_keeps_sessions_and_ignores_invalid_settings(site):
     proxy = site.proxies[0]
     client = await site.client()
     await client.ask('BEGIN')
@@ -191,7 +191,7 @@
         return (await stream.receive()).decode().strip()
 
 
-async def test_no_database_is_said_to_be_missing_by_an_old_configuration(
+async def test_an_unconfirmed_configuration_reports_no_database_as_missing(
     site, until
 ):
     """A proxy answered "no such database" over 5 s after a route was added.
@@ -210,7 +210,7 @@
     await until(is_busy)
 
 
-async def test_whoever_comes_as_a_proxy_ends_is_answered_or_turned_away(site):
+async def test_sessions_opened_during_shutdown_are_answered_or_refused(site):
     """A stopping proxy closed new sessions before their first request.
 
     The proxy closed all idle sessions every 50 ms while it stopped, also
--- a/tests/edge/test_edge_quotas.py
+++ b/tests/edge/test_edge_quotas.py
@@ -94,7 +94,7 @@
         assert 'retry after' in error
 
 
-async def test_a_killed_proxy_hands_nothing_out_twice(limited_site):
+async def test_grants_of_a_killed_proxy_are_not_issued_again(limited_site):
     await flood(limited_site, 1.0)
     limited_site.proxies[0].send(signal.SIGKILL)
     await flood(limited_site, 2.0, proxies=(1, 2))
@@ -114,7 +114,7 @@
     assert count_runs(limited_site) <= 2 * 2.0 + 2.0 + 5
 
 
-async def test_who_is_below_the_limit_is_not_refused(limited_site):
+async def test_a_caller_below_the_limit_is_not_refused(limited_site):
     client = await limited_site.client(1, key=KEY)
     await client.ask('READ x')
     await anyio.sleep(0.2)
--- a/tests/edge/test_edge_returns.py
+++ b/tests/edge/test_edge_restore.py
@@ -63,7 +63,9 @@
     assert numbers == sorted(set(numbers))
 
 
-async def test_a_primary_is_still_replaced(restored_site, wait_writable):
+async def test_a_primary_is_replaced_after_a_restore(
+    restored_site, wait_writable
+):
     site = restored_site
     await wait_writable(site)
     for instance in site.instances:
@@ -77,7 +79,7 @@
     assert_numbers_rise(site)
 
 
-async def test_the_row_is_written_again(restored_site, until):
+async def test_the_row_is_written_again_after_a_restore(restored_site, until):
     site = restored_site
     leader = f'127.0.0.1:{site.primary.port}'
 
@@ -88,7 +90,7 @@
     await until(names_the_primary, REWRITE_TIMEOUT_S)
 
 
-async def test_writes_go_on_meanwhile(restored_site):
+async def test_writes_continue_after_a_restore(restored_site):
     for number in range(12):
         assert await write(restored_site, number % 3) == ''
         await anyio.sleep(0.2)
@@ -107,7 +109,7 @@
     assert_numbers_rise(site)
 
 
-async def test_a_proxy_that_was_registered_is_so_again(restored_site, until):
+async def test_a_proxy_registers_again_after_a_restore(restored_site, until):
     site = restored_site
     copy = site.store.copy()
     for key in list(copy.rows):
@@ -122,7 +124,9 @@
     await until(all_registered, REWRITE_TIMEOUT_S)
 
 
-async def test_a_list_of_instances_is_taken_again(restored_site, until):
+async def test_an_older_list_of_instances_is_accepted_after_a_restore(
+    restored_site, until
+):
     """The restored list has a lower version than the known one."""
     site = restored_site
     copy = site.store.copy()
--- a/tests/edge/test_edge_homes.py
+++ b/tests/edge/test_edge_scarce_connections.py
@@ -22,7 +22,7 @@
         yield made
 
 
-async def test_every_proxy_serves_within_the_cap(scarce_site):
+async def test_every_proxy_serves_within_the_connection_limit(scarce_site):
     for _ in range(3):
         for number in range(PROXIES):
             client = await scarce_site.client(number, name=f'c{number}-')
@@ -58,7 +58,7 @@
         assert (await client.receive()).startswith('DONE ')
 
 
-async def test_the_loss_of_a_proxy_moves_its_work(scarce_site, until):
+async def test_work_of_a_killed_proxy_moves_to_others(scarce_site, until):
     for proxy in scarce_site.proxies[:2]:
         proxy.send(signal.SIGKILL)
 
@@ -74,7 +74,7 @@
     await until(all_write)
 
 
-async def test_a_proxy_that_stops_ends_what_it_serves_for_others(scarce_site):
+async def test_a_stopping_proxy_completes_forwarded_transactions(scarce_site):
     clients = [await scarce_site.client(n, name=f's{n}-') for n in (5, 6)]
     for client in clients:
         await client.ask('BEGIN')
--- a/tests/edge/test_edge_secrets.py
+++ b/tests/edge/test_edge_secrets.py
@@ -13,7 +13,7 @@
 KEY = 'uddedev3nax7u27gxpry'
 
 
-async def test_a_key_is_in_no_line_of_the_logs(site):
+async def test_logs_contain_no_key(site):
     client = await site.client(0, key=KEY)
     assert (await client.ask('WRITE x 1')).error == ''
     assert (await client.ask('READ x')).rows == ('1',)
--- a/tests/edge/test_edge_sessions.py
+++ b/tests/edge/test_edge_sessions.py
@@ -16,13 +16,13 @@
         assert (await client.ask('READ x')).rows == (str(number),)
 
 
-async def test_every_answer_bears_the_receipt_of_its_own_run(site):
+async def test_every_answer_has_the_receipt_of_its_own_run(site):
     client = await site.client(1)
     reply = await client.ask('WRITE x 1')
     assert reply.receipt == f'{site.primary.id}:{client.last_id}'
 
 
-async def test_reads_of_an_age_are_served_by_replicas(site):
+async def test_bounded_staleness_reads_are_served_by_replicas(site):
     client = await site.client(database='db-bounded')
     for _ in range(10):
         assert not (await client.ask('READ x')).error
@@ -79,7 +79,7 @@
     assert found is None
 
 
-async def test_a_failed_transaction_takes_only_its_end(site):
+async def test_a_failed_transaction_accepts_only_its_end(site):
     client = await site.client()
     await client.ask('BEGIN')
     site.primary.faults.busy = True
--- a/tests/edge/test_edge_silence.py
+++ b/tests/edge/test_edge_silent_connections.py
@@ -31,7 +31,7 @@
     return False
 
 
-async def test_a_silent_feed_does_not_hold_up_a_configuration(relayed, until):
+async def test_a_silent_feed_does_not_delay_a_configuration(relayed, until):
     silence_store(relayed)
     relayed.configure(routes=[])
 
@@ -84,7 +84,7 @@
     await until(written)
 
 
-async def test_who_is_turned_away_by_the_store_hears_from_others(
+async def test_a_proxy_rejected_by_the_store_gets_changes_from_peers(
     relayed, until
 ):
     relay = relayed.store_relays[1]
@@ -98,7 +98,7 @@
     await until(refused_there, EFFECT_TIMEOUT_S)
 
 
-async def test_a_change_that_feeds_did_not_hear_of_is_found(site, until):
+async def test_a_change_that_feeds_missed_is_detected(site, until):
     """A feed that ended without a change resumed after that change."""
     site.store.faults.deaf = True
     site.configure(routes=[])
--- a/tests/edge/test_edge_tenants.py
+++ b/tests/edge/test_edge_tenants.py
@@ -69,7 +69,7 @@
             assert name.startswith('w') or run.tenant == name
 
 
-async def test_a_connection_brings_one_tenant_s_statements(two_tenant_site):
+async def test_a_connection_carries_statements_of_one_tenant(two_tenant_site):
     clients = [
         (
             name,
@@ -89,7 +89,7 @@
         assert all(len(found) == 1 for found in seen.values())
 
 
-async def test_a_withdrawn_key_stops_in_an_open_session(
+async def test_a_withdrawn_key_is_rejected_in_an_open_session(
     two_tenant_site, until
 ):
     withdrawn, kept = KEYS['bode960']
@@ -107,7 +107,7 @@
     assert (await other.ask('READ x')).error == ''
 
 
-async def test_a_new_key_works_where_the_store_turns_a_proxy_away(
+async def test_a_proxy_rejected_by_the_store_accepts_new_keys(
     run_site, tmp_path, until
 ):
     async with run_site(tmp_path, edge.SiteSettings(relayed=True)) as site:
@@ -131,7 +131,7 @@
         await until(follows, 5.0)
 
 
-async def test_no_key_is_in_anything_that_a_proxy_says(two_tenant_site):
+async def test_logs_and_metrics_contain_no_key(two_tenant_site):
     keys_in_use = [key for held in KEYS.values() for key in held] + [
         UNKNOWN_KEY
     ]
--- a/tests/platform/test_generations.py
+++ b/tests/platform/test_generations.py
@@ -1,6 +1,6 @@
 """Versions of the store are valid within one of its generations only.
 
-`tests/edge/test_edge_returns.py` describes the fault that these tests guard
+`tests/edge/test_edge_restore.py` describes the fault that these tests guard
 against.
 """
 
--- a/tests/soak/test_checks.py
+++ b/tests/soak/test_checks.py
@@ -54,7 +54,7 @@
     return {problem.partition(':')[0] for problem in found}
 
 
-def test_a_write_in_good_order_breaks_nothing(site, journal):
+def test_a_correct_write_violates_nothing(site, journal):
     record_request(journal, 'a', 'WRITE x 1', receipt=f'{site.primary.id}:a')
     record_run(site, 'a', 'WRITE x 1')
     record_commit(site, 'a', 1)
@@ -73,7 +73,7 @@
     assert violated_rules(site, journal) == {'MIXED'}
 
 
-def test_a_statement_that_nobody_sent(site, journal):
+def test_a_run_that_no_caller_requested(site, journal):
     record_run(site, 'z', 'WRITE x 1')
     assert violated_rules(site, journal) == {'UNASKED'}
 
@@ -92,7 +92,7 @@
     assert violated_rules(site, journal) == {'TWICE'}
 
 
-def test_a_promise_that_was_not_kept(site, journal):
+def test_a_commit_of_a_refused_write(site, journal):
     record_request(journal, 'a', 'WRITE x 1', code='BUSY')
     record_commit(site, 'a', 1)
     assert violated_rules(site, journal) == {'REFUSED'}
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -8,14 +8,14 @@
 CI_DURATION_S = 8.0
 
 
-def test_a_short_run_keeps_every_promise(tmp_path):
+def test_a_short_run_violates_nothing(tmp_path):
     cfg = soak.SoakSettings(CI_SEED, CI_DURATION_S, tmp_path)
     report = soak.run(cfg)
     assert report.problems == ()
     assert report.served > 0 and report.faults > 0
 
 
-def test_a_short_run_with_tenants_keeps_every_promise(tmp_path):
+def test_a_short_run_with_tenants_violates_nothing(tmp_path):
     cfg = soak.SoakSettings(CI_SEED, CI_DURATION_S, tmp_path, tenants=True)
     report = soak.run(cfg)
     assert report.problems == ()
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize(
     'case', CI_REGRESSIONS, ids=lambda case: str(case.seed)
 )
-def test_seeds_that_once_failed_keep_every_promise(case, tmp_path):
+def test_seeds_that_once_failed_violate_nothing(case, tmp_path):
     """Seed 215 failed under load for two reasons.
 
     A superseded supervisor's fence demoted the next primary to a replica that
--- a/tests/system/test_failures.py
+++ b/tests/system/test_failures.py
@@ -148,7 +148,7 @@
     await stop_and_check(load)
 
 
-async def test_a_draining_proxy_cuts_nothing(site, load):
+async def test_a_draining_proxy_completes_open_work(site, load):
     """Requests in flight and an open transaction complete normally."""
     proxy = site.deployment.proxies[0]
     caller = site.caller()
@@ -221,7 +221,7 @@
     await stop_and_check(load)
 
 
-async def test_connections_never_pass_the_cap(site, load):
+async def test_connections_never_exceed_the_limit(site, load):
     await load.wait_for_writes(60)
     for instance in site.deployment.instances:
         state = await site.deployment.instance_state(instance)
--- a/tests/system/test_operators.py
+++ b/tests/system/test_operators.py
@@ -49,7 +49,7 @@
     assert [e['version'] for e in json.loads(done.stdout)] == [2, 1]
 
 
-async def test_one_of_two_operators_wins_and_the_other_is_told(site):
+async def test_the_second_of_two_concurrent_applies_is_refused(site):
     files = [write_config(site, 'one'), write_config(site, 'two')]
     done = []
 
@@ -107,7 +107,7 @@
     assert done.returncode == 5
 
 
-async def test_an_unreachable_platform_is_said_so(site):
+async def test_an_unreachable_platform_is_reported(site):
     await site.deployment.set_platform_faults(down=True)
     done = await run_command(
         site, 'config', 'apply', write_config(site, 'down')
@@ -117,7 +117,7 @@
     assert json.loads(shown.stdout)['version'] == 1
 
 
-async def test_a_store_that_went_back_changes_nothing(site):
+async def test_an_older_pointer_in_the_store_changes_nothing(site):
     await run_command(site, 'config', 'apply', write_config(site, 'newer'))
     state = (
         await site.http.get(f'{site.deployment.platform_url}/state')
@@ -144,7 +144,7 @@
     assert json.loads(done.stdout) == {'version': 2, 'behind': []}
 
 
-async def test_drain_by_command(site):
+async def test_the_drain_command_stops_a_proxy(site):
     done = await run_command(site, 'drain')
     assert done.returncode == 0
     process = site.deployment.proxies[0].process
