--- a/tests/adapters/test_logs.py
+++ b/tests/adapters/test_logs.py
@@ -1,4 +1,4 @@
-"""Logged events and their catalogue."""
+"""LogEvent and its page docs/EVENTS.md."""
 
 import io
 import json
@@ -32,7 +32,7 @@
 
 
 def test_every_event_is_written_somewhere():
-    # Adapters of the users' platform log what they alone see.
+    # Some events are logged by the adapters of the platform only.
     packages = [pathlib.Path(logs.__file__).parents[1], PLATFORM]
     source = ''.join(
         path.read_text()
