--- a/src/tidegrade/daemon/_generation_watch.py
+++ b/src/tidegrade/daemon/_generation_watch.py
@@ -61,6 +61,6 @@
             # This proxy has written nothing yet that could have been lost.
             return False
         logs.write(
-            logs.LogEvent.GENERATION_SEEN, generation=latest, former=former
+            logs.LogEvent.ROWS_RECHECKED, generation=latest, former=former
         )
         return True
--- a/src/tidegrade/daemon/_group_task.py
+++ b/src/tidegrade/daemon/_group_task.py
@@ -250,7 +250,7 @@
         if seconds - planned <= core.MAX_SCHEDULING_DELAY_S:
             return
         logs.write_bounded(
-            logs.LogEvent.PAUSED,
+            logs.LogEvent.PROCESS_PAUSED,
             group=str(self.key),
             seconds=round(seconds, 3),
         )
@@ -357,7 +357,7 @@
             'term': own.term,
         }
         if not own.primary_down:
-            logs.write(logs.LogEvent.PRIMARY_ANSWERS, **fields)
+            logs.write(logs.LogEvent.PRIMARY_NOT_DOWN, **fields)
             return
         view = self.machine.views[row.primary]
         logs.write(
--- a/src/tidegrade/daemon/_quotas.py
+++ b/src/tidegrade/daemon/_quotas.py
@@ -87,7 +87,7 @@
         self._next_report = now + REPORT_INTERVAL_S
         for bucket, counts in self._keeper.reports():
             logs.write_bounded(
-                logs.LogEvent.QUOTA_KEPT,
+                logs.LogEvent.QUOTA_GRANTED,
                 tenant=bucket.tenant.name,
                 granted=counts.granted,
                 refused=counts.refused,
@@ -154,7 +154,7 @@
             return asked.answer.grant
         self._failed_at[keeper] = self._clock.now()
         logs.write_bounded(
-            logs.LogEvent.KEEPER_LOST,
+            logs.LogEvent.QUOTA_OWNER_LOST,
             peer=keeper,
             tenant=tenant.name,
             sent=asked.sent,
--- a/src/tidegrade/http_proxy/_config_task.py
+++ b/src/tidegrade/http_proxy/_config_task.py
@@ -147,7 +147,7 @@
         self._adoption.check_stored(ref)
         if self._adoption.store_regressions == before + 1 and before == 0:
             logs.write(
-                logs.LogEvent.CONFIG_WENT_BACK,
+                logs.LogEvent.CONFIG_OLDER_IN_STORE,
                 shown=ref.version if ref else 0,
                 in_force=self._adoption.version,
             )
@@ -156,9 +156,9 @@
         if reachable == self._reachable:
             return
         if self._reachable is not None or not reachable:
-            event = logs.LogEvent.PLATFORM_LOST
+            event = logs.LogEvent.PLATFORM_UNREACHABLE
             if reachable:
-                event = logs.LogEvent.PLATFORM_BACK
+                event = logs.LogEvent.PLATFORM_REACHABLE
             logs.write(event)
         self._reachable = reachable
 
--- a/src/tidegrade/http_proxy/_proxy.py
+++ b/src/tidegrade/http_proxy/_proxy.py
@@ -151,7 +151,8 @@
                 await anyio.sleep(DRAIN_LOOK)
         if scope.cancelled_caught:
             logs.write(
-                logs.LogEvent.DRAIN_CUT, in_flight=self._service.in_flight
+                logs.LogEvent.DRAIN_LIMIT_REACHED,
+                in_flight=self._service.in_flight,
             )
         # The server ends by itself once its last answers have left.
         self._server.should_exit = True
--- a/src/tidegrade/logs/_events.py
+++ b/src/tidegrade/logs/_events.py
@@ -21,33 +21,41 @@
     STARTED = (1001, logging.INFO, 'the proxy serves')
     DRAINING = (1002, logging.INFO, 'the proxy takes no new work')
     STOPPED = (1003, logging.INFO, 'the proxy has stopped')
-    DRAIN_CUT = (1004, logging.WARNING, 'the drain limit interrupted work')
+    DRAIN_LIMIT_REACHED = (
+        1004,
+        logging.WARNING,
+        'the drain limit interrupted work',
+    )
     INVARIANT_BROKEN = (1005, logging.CRITICAL, 'an invariant is broken')
-    PAUSED = (1006, logging.WARNING, 'the process was suspended')
+    PROCESS_PAUSED = (1006, logging.WARNING, 'the process was suspended')
     RELOADED = (1007, logging.INFO, 'the settings were reloaded')
     RELOAD_REFUSED = (1008, logging.ERROR, 'new settings are unusable')
     SESSION_CLOSED = (1009, logging.INFO, 'an idle session was closed')
-    DOOR_CLOSED = (1010, logging.INFO, 'new sessions are rejected')
+    LISTENER_CLOSED = (1010, logging.INFO, 'new sessions are rejected')
     REGISTERED = (
         1101,
         logging.INFO,
         'this proxy is registered with the supervisors',
     )
-    PLATFORM_LOST = (1102, logging.WARNING, 'the platform does not answer')
-    PLATFORM_BACK = (1103, logging.INFO, 'the platform answers again')
-    STORE_RETURNED = (
+    PLATFORM_UNREACHABLE = (
+        1102,
+        logging.WARNING,
+        'the platform does not answer',
+    )
+    PLATFORM_REACHABLE = (1103, logging.INFO, 'the platform answers again')
+    STORE_RESTORED = (
         1104,
         logging.WARNING,
         'the store was restored from an older copy',
     )
     ROW_RESTORED = (1105, logging.WARNING, 'a lost row is written again')
-    GENERATION_SEEN = (
+    ROWS_RECHECKED = (
         1106,
         logging.WARNING,
         'the rows of this proxy are checked after a restore of the store',
     )
     CONFIG_ADOPTED = (1201, logging.INFO, 'a configuration is in force')
-    CONFIG_WENT_BACK = (
+    CONFIG_OLDER_IN_STORE = (
         1202,
         logging.ERROR,
         'the store holds an older configuration; the newer one stays in force',
@@ -60,23 +68,23 @@
         logging.WARNING,
         'a configuration arrived from another proxy first',
     )
-    WATCH_TAKEN = (1207, logging.INFO, 'this proxy watches the platform')
-    WATCH_LEFT = (
+    WATCH_STARTED = (1207, logging.INFO, 'this proxy watches the platform')
+    WATCH_STOPPED = (
         1208,
         logging.INFO,
         'this proxy no longer watches the platform',
     )
-    CONFIG_HEARD_OF = (
+    CONFIG_ANNOUNCED = (
         1209,
         logging.INFO,
         'another proxy has a newer configuration',
     )
-    CONFIG_NOT_GOT = (
+    CONFIG_FETCH_FAILED = (
         1210,
         logging.WARNING,
         'a configuration could not be fetched from another proxy',
     )
-    CONFIG_UNPROVEN = (
+    CONFIG_UNCONFIRMED = (
         1211,
         logging.WARNING,
         'the configuration is not confirmed as the newest; reading it again',
@@ -92,7 +100,7 @@
         logging.WARNING,
         'this proxy considers a primary down',
     )
-    PRIMARY_ANSWERS = (
+    PRIMARY_NOT_DOWN = (
         1308,
         logging.INFO,
         'this proxy no longer considers a primary down',
@@ -108,12 +116,16 @@
         logging.WARNING,
         'a connection to a peer stopped answering',
     )
-    CUT_OFF = (
+    DOMAIN_ISOLATED = (
         1402,
         logging.WARNING,
         'the failure domain is isolated from all others',
     )
-    IN_TOUCH = (1403, logging.INFO, 'the failure domain is connected again')
+    DOMAIN_CONNECTED = (
+        1403,
+        logging.INFO,
+        'the failure domain is connected again',
+    )
     DOMAIN_DIFFERS = (
         1405,
         logging.INFO,
@@ -135,7 +147,7 @@
         logging.WARNING,
         'an entry in the list of endpoints is invalid',
     )
-    ENTRY_TAKEN_AGAIN = (
+    ENTRY_RECOVERED = (
         1504,
         logging.INFO,
         'an invalid entry was corrected or removed',
@@ -153,17 +165,17 @@
         logging.WARNING,
         'another proxy did not answer for a request',
     )
-    KEEPER_LOST = (
+    QUOTA_OWNER_LOST = (
         1607,
         logging.WARNING,
         "the owner of a tenant's quota did not answer",
     )
-    QUOTA_KEPT = (
+    QUOTA_GRANTED = (
         1608,
         logging.INFO,
         'operations granted from a quota by this proxy',
     )
-    LINES_LEFT_OUT = (1701, logging.WARNING, 'log lines were dropped')
+    LINES_DROPPED = (1701, logging.WARNING, 'log lines were dropped')
     OUTCOME_UNKNOWN = (1602, logging.WARNING, 'an outcome is unknown')
 
     @property
@@ -219,7 +231,7 @@
         return
     dropped = _rate_limit.take_dropped()
     if dropped:
-        write(LogEvent.LINES_LEFT_OUT, count=dropped)
+        write(LogEvent.LINES_DROPPED, count=dropped)
     write(event, **fields)
 
 
--- a/src/tidegrade/session_proxy/_config_fetch.py
+++ b/src/tidegrade/session_proxy/_config_fetch.py
@@ -133,7 +133,7 @@
         took_ms = round((anyio.current_time() - asked_at) * 1000)
         if not isinstance(answer, messages.ConfigContent):
             logs.write_bounded(
-                logs.LogEvent.CONFIG_NOT_GOT,
+                logs.LogEvent.CONFIG_FETCH_FAILED,
                 peer=proxy,
                 known_version=known,
                 took_ms=took_ms,
@@ -172,7 +172,7 @@
             return
         self._logged_version = newest
         logs.write(
-            logs.LogEvent.CONFIG_HEARD_OF,
+            logs.LogEvent.CONFIG_ANNOUNCED,
             peer=proxy,
             version=newest,
             known_version=known,
--- a/src/tidegrade/session_proxy/_drain.py
+++ b/src/tidegrade/session_proxy/_drain.py
@@ -48,7 +48,7 @@
         # A connection accepted from now on would be cut by the process end.
         self._door.stop_accepting()
         logs.write(
-            logs.LogEvent.DOOR_CLOSED,
+            logs.LogEvent.LISTENER_CLOSED,
             after_ms=round((self._clock.now() - started_at) * 1000),
             in_flight=self._door.close_idle(),
         )
@@ -57,7 +57,7 @@
             await self._close_sessions()
         if final.cancelled_caught:
             still_open = self._door.close_idle()
-            logs.write(logs.LogEvent.DRAIN_CUT, in_flight=still_open)
+            logs.write(logs.LogEvent.DRAIN_LIMIT_REACHED, in_flight=still_open)
 
     async def _close_sessions(self) -> None:
         """Close each session once it is idle, until none is open.
--- a/src/tidegrade/session_proxy/_members.py
+++ b/src/tidegrade/session_proxy/_members.py
@@ -55,7 +55,9 @@
     async def _scan(self) -> None:
         listed = await self._table.scan(_rows.PROXIES_PREFIX)
         if listed.is_err():
-            logs.write(logs.LogEvent.PLATFORM_LOST, reason=listed.unwrap_err())
+            logs.write(
+                logs.LogEvent.PLATFORM_UNREACHABLE, reason=listed.unwrap_err()
+            )
             return
         vms = []
         for key, value in listed.unwrap().items():
--- a/src/tidegrade/session_proxy/_peer_key.py
+++ b/src/tidegrade/session_proxy/_peer_key.py
@@ -30,7 +30,7 @@
             if not lost:
                 lost = True
                 reason = found.unwrap_err()
-                logs.write(logs.LogEvent.PLATFORM_LOST, reason=reason)
+                logs.write(logs.LogEvent.PLATFORM_UNREACHABLE, reason=reason)
             await anyio.sleep(RETRY_PAUSE_S)
             continue
         row = found.unwrap()
--- a/src/tidegrade/session_proxy/_platform_watch.py
+++ b/src/tidegrade/session_proxy/_platform_watch.py
@@ -125,7 +125,7 @@
             return
         age = self._age.age(now)
         logs.write(
-            logs.LogEvent.CONFIG_UNPROVEN,
+            logs.LogEvent.CONFIG_UNCONFIRMED,
             known_version=self._version(),
             age_ms=None if age is None else round(age * 1000),
             turn=self.turn,
@@ -147,9 +147,9 @@
         self._directory.watch(self.watching)
 
     def _log_turn(self) -> None:
-        event = logs.LogEvent.WATCH_LEFT
+        event = logs.LogEvent.WATCH_STOPPED
         if self.watching:
-            event = logs.LogEvent.WATCH_TAKEN
+            event = logs.LogEvent.WATCH_STARTED
         alive = self._peers.alive()
         logs.write(
             event,
--- a/src/tidegrade/session_proxy/_proxy.py
+++ b/src/tidegrade/session_proxy/_proxy.py
@@ -309,7 +309,9 @@
     def _on_isolation_changed(self, permitted: bool) -> None:
         cut_off = self._isolation.cut_off
         logs.write(
-            logs.LogEvent.CUT_OFF if cut_off else logs.LogEvent.IN_TOUCH,
+            logs.LogEvent.DOMAIN_ISOLATED
+            if cut_off
+            else logs.LogEvent.DOMAIN_CONNECTED,
             silence_ms=round(self._isolation.silence * 1000),
             usual_ms=round(self._isolation.silence_limit_s * 1000),
             permitted=permitted,
--- a/tests/platform/test_entries.py
+++ b/tests/platform/test_entries.py
@@ -168,7 +168,7 @@
     await listed(directory, store, {'i-0': json.dumps(SOUND).encode()})
     events = [event for event, _ in logged]
     assert events[:100] == [logs.LogEvent.ENTRY_REFUSED] * 100
-    assert events[100:] == [logs.LogEvent.ENTRY_TAKEN_AGAIN] * 100
+    assert events[100:] == [logs.LogEvent.ENTRY_RECOVERED] * 100
 
 
 json_values = st.recursive(
