--- a/src/tidegrade/core/_config_age.py
+++ b/src/tidegrade/core/_config_age.py
@@ -12,7 +12,7 @@
 import attrs
 
 #: Part of the time within which a configuration must be in force, after
-#: which a proxy reads it itself if a newer version that it heard of has not
+#: which a proxy reads it itself if a newer version that it knows of has not
 #: arrived: fetching it from a peer normally takes a tenth of that time.
 PENDING_READ_PART = 0.3
 #: The same for the proxies next in rank to the readers, if the version in
@@ -35,11 +35,11 @@
 class _Pending:
     """A version that is not in force here yet; times in seconds.
 
-    ``heard_at`` is when this proxy first heard of it, ``newest_at`` when it
-    was last known to be the newest.
+    ``announced_at`` is when this proxy first learned that it exists,
+    ``newest_at`` when it was last known to be the newest.
     """
 
-    heard_at: float
+    announced_at: float
     newest_at: float
 
 
@@ -97,10 +97,10 @@
             return False
         part = EARLY_READ_PART if early else LATE_READ_PART
         unconfirmed = now - self._confirmed_at > part * self.within
-        heard_at = min(
-            (p.heard_at for p in self._pending.values()), default=now
+        announced_at = min(
+            (p.announced_at for p in self._pending.values()), default=now
         )
-        outdated = now - heard_at > PENDING_READ_PART * self.within
+        outdated = now - announced_at > PENDING_READ_PART * self.within
         if not unconfirmed and not outdated:
             return False
         self._not_before = now + self._backoff_s
--- a/src/tidegrade/core/_exchange.py
+++ b/src/tidegrade/core/_exchange.py
@@ -50,14 +50,14 @@
     state: _state.GroupState, event: _events.EvidenceReceived
 ) -> None:
     """Apply the evidence of another proxy if it is of the same term."""
-    heard = event.evidence
+    evidence = event.evidence
     known = state.row.term if state.row is not None else 0
-    if heard.term > known:
+    if evidence.term > known:
         state.emit(_events.FetchRow())
-    if state.row is None or heard.term != known:
+    if state.row is None or evidence.term != known:
         return
     state.row_confirmed(event.asked_at)
-    for grant in heard.grants:
+    for grant in evidence.grants:
         state.permission.answered(grant.member, grant.promised, grant.at)
-    if heard.position is not None:
-        state.record_position(heard.position_at, heard.position)
+    if evidence.position is not None:
+        state.record_position(evidence.position_at, evidence.position)
--- a/src/tidegrade/core/_homes.py
+++ b/src/tidegrade/core/_homes.py
@@ -71,7 +71,7 @@
     proxies: Mapping[str, Collection[str]],
     by_tenant: bool = False,
 ) -> tuple[str, ...]:
-    """Return the expected homes of a group, heard from or not.
+    """Return the expected homes of a group, alive or not.
 
     After a restart of all proxies, requests can be forwarded to these a
     second before the homes have announced the groups that they serve.
--- a/src/tidegrade/core/_hung_polls.py
+++ b/src/tidegrade/core/_hung_polls.py
@@ -70,9 +70,9 @@
 
         Returns whether a poll of the endpoint is outstanding.
         """
-        heard = self._state.views[name].last_answer_at
+        last_answer_at = self._state.views[name].last_answer_at
         for conn in self._state.pool.of(name):
-            silent = conn.job is not None and conn.sent_at > heard
+            silent = conn.job is not None and conn.sent_at > last_answer_at
             if silent and self._is_hung(conn, now):
                 self._poll_elsewhere(conn, now)
                 break
--- a/src/tidegrade/core/_isolation.py
+++ b/src/tidegrade/core/_isolation.py
@@ -44,7 +44,7 @@
     #: Time since the newest heartbeat of another domain, as of the latest
     #: observation.
     silence: float = 0.0
-    _heard_at: float = float('-inf')
+    _received_at: float = float('-inf')
     _longest_gap: float = 0.0
     _observed_at: float = float('-inf')
 
@@ -61,17 +61,17 @@
         )
 
     def observe(
-        self, heard_at: float | None, permitted: bool, now: float
+        self, received_at: float | None, permitted: bool, now: float
     ) -> bool:
         """Update the state and return whether ``cut_off`` has changed.
 
-        ``heard_at`` is when the newest heartbeat of another domain arrived,
+        ``received_at`` is when the newest heartbeat of another domain arrived,
         None if none ever did. ``permitted`` is true if this proxy holds the
         permission of at least one group.
         """
         before = self.cut_off
-        self._track_gap(heard_at, now)
-        if not self._is_cut_off(heard_at, permitted, now):
+        self._track_gap(received_at, now)
+        if not self._is_cut_off(received_at, permitted, now):
             self.since = None
         elif self.since is None:
             self.since = now
@@ -96,22 +96,22 @@
         return now - self.since >= MAX_BALANCER_DETECTION_S
 
     def _is_cut_off(
-        self, heard_at: float | None, permitted: bool, now: float
+        self, received_at: float | None, permitted: bool, now: float
     ) -> bool:
-        if heard_at is None:
+        if received_at is None:
             return False
-        self.silence = now - heard_at
+        self.silence = now - received_at
         if self.silence < self.silence_limit_s:
             return False
         return not permitted or self.silence < PEERS_FAILED_SILENCE_S
 
-    def _track_gap(self, heard_at: float | None, now: float) -> None:
+    def _track_gap(self, received_at: float | None, now: float) -> None:
         """Update the longest recent interval between heartbeats."""
         elapsed = min(now - self._observed_at, HEARTBEAT_GAP_HALF_LIFE_S)
         self._longest_gap *= 0.5 ** (elapsed / HEARTBEAT_GAP_HALF_LIFE_S)
-        if heard_at is not None and heard_at > self._heard_at:
-            gap = now - self._heard_at
+        if received_at is not None and received_at > self._received_at:
+            gap = now - self._received_at
             if gap <= MAX_HEARTBEAT_GAP_S:
                 self._longest_gap = max(self._longest_gap, gap)
-            self._heard_at = heard_at
+            self._received_at = received_at
         self._observed_at = now
--- a/src/tidegrade/core/_queue.py
+++ b/src/tidegrade/core/_queue.py
@@ -12,7 +12,7 @@
 SERVICE_TIME_WEIGHT = 0.1
 #: Service time assumed before the first sample, in seconds.
 INITIAL_SERVICE_TIME_S = 0.005
-#: Bounds of the retry delay that a refused caller is told, in seconds.
+#: Bounds of the retry delay reported to refused callers, in seconds.
 MIN_RETRY_AFTER_S = 0.1
 MAX_RETRY_AFTER_S = 30.0
 
--- a/src/tidegrade/core/_quota.py
+++ b/src/tidegrade/core/_quota.py
@@ -43,7 +43,7 @@
 #: Time without requests to the fallback owner after which its fallback
 #: period starts again, in seconds: at least the longest window of a quota.
 FALLBACK_RESET_S = 5.0
-#: Weight of a proxy that was listed just now but not heard from: less than
+#: Weight of a recently listed proxy without a heartbeat yet: less than
 #: one, since it may be behind a partition that this process has not detected.
 STARTING_WEIGHT = 0.5
 #: Candidates that are asked for one operation: a proxy that is partitioned
@@ -307,10 +307,10 @@
 def visible_part(seen: int, known: int, starting: int = 0) -> float:
     """Return the part of all ``known`` proxies that this one sees.
 
-    ``known`` includes proxies that have not been heard from for long: if
+    ``known`` includes proxies without a heartbeat for a long time: if
     they are partitioned, they grant their own part. ``starting`` is the
     number of proxies listed just now, which count with a lower weight:
-    after a restart of all proxies none has been heard from yet.
+    after a restart of all proxies none has sent a heartbeat yet.
     """
     return min(1.0, (seen + starting * STARTING_WEIGHT) / max(known, 1))
 
--- a/src/tidegrade/daemon/_gossip.py
+++ b/src/tidegrade/daemon/_gossip.py
@@ -453,7 +453,8 @@
         """Return the relays of a failure domain, chosen by rendezvous hashing.
 
         This proxy may be one of them. Proxies that were listed recently but
-        not heard yet count too, since they may be restarted relays.
+        have sent no heartbeat yet count too, since they may be restarted
+        relays.
         """
         candidates = self._roster.candidates(self._clock.now())
         proxies = candidates.get(domain, set())
--- a/src/tidegrade/daemon/_peers_task.py
+++ b/src/tidegrade/daemon/_peers_task.py
@@ -122,10 +122,10 @@
 
     def silent_addresses(self) -> list[str]:
         """Return the listed or known addresses without an alive peer."""
-        heard = {peer.address for peer in self.alive()}
+        alive = {peer.address for peer in self.alive()}
         return [
             f'{address.host}:{address.port}'
-            for address in self._roster.addresses() - heard
+            for address in self._roster.addresses() - alive
         ]
 
     def serving(self, key: messages.GroupKey) -> list[_roster.Peer]:
@@ -152,7 +152,7 @@
         return self._roster.candidates(self._deps.clock.now())
 
     def starting(self) -> set[str]:
-        """Return the proxies listed recently and not heard yet."""
+        """Return recently listed proxies without a heartbeat so far."""
         return self._roster.starting(self._deps.clock.now())
 
     def silent_domains(self) -> frozenset[str]:
@@ -280,7 +280,7 @@
             await anyio.sleep(self._deps.peers.heartbeat_s)
 
     def _remove_silent(self) -> None:
-        """Remove peers and addresses that are neither listed nor heard."""
+        """Remove peers and addresses neither listed nor sending heartbeats."""
         now = self._deps.clock.now()
         oldest = now - REMOVE_AFTER_S
         self._roster.forget(oldest)
--- a/src/tidegrade/daemon/_quotas.py
+++ b/src/tidegrade/daemon/_quotas.py
@@ -1,8 +1,8 @@
 """Rate limits of workspaces, shared by all proxies.
 
-Each workspace (``tenant``) has one keeper, a proxy chosen by rendezvous
-hashing, that grants its operations. This module asks the keepers for grants,
-and grants for the workspaces whose keeper this proxy is.
+Each workspace (``tenant``) has one owner, a proxy chosen by rendezvous
+hashing, that grants its operations. This module asks the owners for grants,
+and grants for the workspaces whose owner this proxy is.
 """
 
 from collections.abc import Callable
@@ -21,16 +21,16 @@
 #: Interval between updates of the known proxies, in seconds: about half the
 #: interval between their heartbeats.
 UPDATE_INTERVAL_S = 0.25
-#: Time-out of a question to a keeper, in seconds: many round trips, but short
+#: Time-out of a request to an owner, in seconds: many round trips, but short
 #: compared with the time that callers wait for an operation.
-KEEPER_TIMEOUT_S = 0.15
-#: Shortest time for which a keeper that did not answer is skipped, in
-#: seconds. After it, the keeper is skipped until a heartbeat arrives that it
+OWNER_TIMEOUT_S = 0.15
+#: Shortest time for which an owner that did not answer is skipped, in
+#: seconds. After it, the owner is skipped until a heartbeat arrives that it
 #: sent after the failure.
-SKIP_KEEPER_S = 1.0
+SKIP_OWNER_S = 1.0
 #: Interval between log reports of granted operations, in seconds.
 REPORT_INTERVAL_S = 1.0
-#: Wait that a caller is told when no keeper answers, in seconds.
+#: Retry delay reported to the caller when no owner answers, in seconds.
 RETRY_AFTER_S = 0.5
 
 
@@ -40,7 +40,7 @@
     ``version`` returns the configuration version in force, and ``named`` a
     workspace by its name, None if it is unknown. ``cut_off`` returns whether
     this failure domain receives heartbeats of no other. ``draining`` returns
-    whether this proxy is stopping: the other proxies then use the next keeper
+    whether this proxy is stopping: the other proxies then use the next owner
     in turn, and so does this one.
     """
 
@@ -61,7 +61,7 @@
         self._tenant_named = named
         self._cut_off = cut_off
         self._draining = draining
-        self._keeper = core.QuotaOwner(clock.now())
+        self._owner = core.QuotaOwner(clock.now())
         self._domains: dict[str, str] = {}
         self._failed_at: dict[str, float] = {}
         self._next_report = float('-inf')
@@ -75,17 +75,17 @@
             now = self._clock.now()
             late = now - last - UPDATE_INTERVAL_S
             if late > core.MAX_SCHEDULING_DELAY_S:
-                self._keeper.paused(late)
+                self._owner.paused(late)
             last = now
             self.update_proxies()
             self._report(now)
 
     def _report(self, now: float) -> None:
-        """Log what this proxy granted as a keeper, if a report is due."""
+        """Log what this proxy granted as an owner, if a report is due."""
         if now < self._next_report:
             return
         self._next_report = now + REPORT_INTERVAL_S
-        for bucket, counts in self._keeper.reports():
+        for bucket, counts in self._owner.reports():
             logs.write_bounded(
                 logs.LogEvent.QUOTA_GRANTED,
                 tenant=bucket.tenant.name,
@@ -105,36 +105,36 @@
     ) -> core.Admission:
         """Request a grant for an operation that can wait ``patience`` seconds.
 
-        The keepers are tried in turn. If none answers, the operation is
+        The owners are tried in turn. If none answers, the operation is
         refused.
         """
         instead_of = ''
         grant: core.Grant | None
-        for keeper in self._keepers_to_ask(tenant.name):
-            if keeper == self._identity.proxy:
+        for owner in self._owners_to_ask(tenant.name):
+            if owner == self._identity.proxy:
                 grant = self._grant(tenant, patience, instead_of)
             else:
-                grant = await self._ask_keeper(
-                    keeper, tenant, patience, instead_of
+                grant = await self._ask_owner(
+                    owner, tenant, patience, instead_of
                 )
             if grant is not None:
                 return core.Admission(
-                    grant.granted, grant.wait, keeper, grant.part, grant.at
+                    grant.granted, grant.wait, owner, grant.part, grant.at
                 )
-            instead_of = instead_of or self._domains.get(keeper, '')
+            instead_of = instead_of or self._domains.get(owner, '')
         return core.Admission(False, RETRY_AFTER_S)
 
     def give_back(self, name: str, admission: core.Admission) -> None:
-        """Return a grant whose operation reached no endpoint to its keeper."""
+        """Return a grant whose operation reached no endpoint to its owner."""
         back = messages.QuotaBack(name, admission.at)
         if admission.owner == self._identity.proxy:
             self.take_back(back)
         else:
             self._peers.send_to(admission.owner, back)
 
-    async def _ask_keeper(
+    async def _ask_owner(
         self,
-        keeper: str,
+        owner: str,
         tenant: tenants.Tenant,
         patience: float,
         instead_of: str,
@@ -147,22 +147,20 @@
             patience,
             instead_of,
         )
-        asked = await self._peers.ask_within(
-            keeper, question, KEEPER_TIMEOUT_S
-        )
+        asked = await self._peers.ask_within(owner, question, OWNER_TIMEOUT_S)
         if isinstance(asked.answer, messages.QuotaGrant):
             return asked.answer.grant
-        self._failed_at[keeper] = self._clock.now()
+        self._failed_at[owner] = self._clock.now()
         logs.write_bounded(
             logs.LogEvent.QUOTA_OWNER_LOST,
-            peer=keeper,
+            peer=owner,
             tenant=tenant.name,
             sent=asked.sent,
         )
         return None
 
-    def _keepers_to_ask(self, name: str) -> tuple[str, ...]:
-        """Return the keepers to ask, the regular one first.
+    def _owners_to_ask(self, name: str) -> tuple[str, ...]:
+        """Return the owners to ask, the usual one first.
 
         Proxies behind a network partition are left out if others remain.
         """
@@ -180,7 +178,7 @@
         return core.quota_owners(name, reachable or proxies, failed)
 
     def _is_skipped(self, proxy: str, failed_at: float) -> bool:
-        if self._clock.now() - failed_at < SKIP_KEEPER_S:
+        if self._clock.now() - failed_at < SKIP_OWNER_S:
             return True
         return not self._peers.has_heartbeat_since(proxy, failed_at)
 
@@ -198,13 +196,13 @@
         )
 
     def take_back(self, body: messages.QuotaBack) -> None:
-        """Take back an unused grant that this proxy gave as keeper."""
-        self._keeper.give_back(body.tenant, body.at, self._clock.now())
+        """Take back an unused grant that this proxy gave as owner."""
+        self._owner.give_back(body.tenant, body.at, self._clock.now())
 
     def _grant(
         self, tenant: tenants.Tenant, patience: float, instead_of: str
     ) -> core.Grant:
-        return self._keeper.grant(
+        return self._owner.grant(
             tenant,
             self._visible_part(instead_of),
             patience,
@@ -217,7 +215,7 @@
     # Known proxies --------------------------------------------------------
 
     def update_proxies(self) -> None:
-        """Update the known proxies and the workspaces that this one keeps."""
+        """Update the known proxies and the workspaces that this one owns."""
         domains = {
             proxy: domain
             for domain, proxies in self._peers.candidates().items()
@@ -230,23 +228,23 @@
             self._failed_at = {
                 p: at for p, at in self._failed_at.items() if p in domains
             }
-            self._keeper.retain_only(self._kept_tenants())
-        self._keeper.observe(self._visible_part(''), self._clock.now())
+            self._owner.retain_only(self._owned_tenants())
+        self._owner.observe(self._visible_part(''), self._clock.now())
 
-    def _kept_tenants(self) -> frozenset[str]:
-        """Return the workspaces, of those with a bucket here, kept here."""
+    def _owned_tenants(self) -> frozenset[str]:
+        """Return the workspaces, of those with a bucket here, owned here."""
         return frozenset(
             name
-            for name in self._keeper
+            for name in self._owner
             if core.owns_quota(name, self._identity.proxy, self._domains)
         )
 
     def _visible_part(self, instead_of: str) -> float:
         """Return the fraction of all proxies that is visible here.
 
-        The keeper grants this fraction of a limit. Proxies in ``instead_of``,
-        the failure domain of a keeper that did not answer, do not count: that
-        domain may be cut off, with a keeper that grants by its own fraction.
+        The owner grants this fraction of a limit. Proxies in ``instead_of``,
+        the failure domain of an owner that did not answer, do not count: that
+        domain may be cut off, with an owner that grants by its own fraction.
         """
         seen = self._count(
             (peer.beat.domain for peer in self._peers.alive()), instead_of
--- a/src/tidegrade/daemon/_roster.py
+++ b/src/tidegrade/daemon/_roster.py
@@ -336,7 +336,7 @@
         return found
 
     def starting(self, now: float) -> set[str]:
-        """Return the proxies listed recently and not heard yet."""
+        """Return recently listed proxies without a heartbeat so far."""
         return {vm.id for vm in self._starting(now)}
 
     def starting_domains(self, now: float) -> list[str]:
--- a/src/tidegrade/peers/_messages.py
+++ b/src/tidegrade/peers/_messages.py
@@ -260,11 +260,11 @@
 
 @attrs.frozen
 class AskQuota:
-    """Asks the keeper of a tenant's quota to admit an operation.
+    """Asks the owner of a tenant's quota to admit an operation.
 
     ``rate``, in operations a second, and ``burst`` are those of the tenant in
     configuration ``config_version``. The operation can wait for ``patience``
-    seconds. If ``instead_of`` is set, the usual keeper, in that failure
+    seconds. If ``instead_of`` is set, the usual owner, in that failure
     domain, did not answer.
     """
 
@@ -287,7 +287,7 @@
 class QuotaBack:
     """Returns an unused grant, whose operation reached no endpoint.
 
-    ``at`` is when the grant counted, in seconds on the keeper's clock.
+    ``at`` is when the grant counted, in seconds on the owner's clock.
     """
 
     tenant: str
--- a/src/tidegrade/session_proxy/_config_fetch.py
+++ b/src/tidegrade/session_proxy/_config_fetch.py
@@ -55,13 +55,13 @@
 
     def __init__(
         self,
-        spot: _roster.ProxyIdentity,
+        identity: _roster.ProxyIdentity,
         directory: ports.Directory,
         peers: _peers_task.PeersTask,
         version: Callable[[], int],
         rng: random.Random,
     ) -> None:
-        self._spot = spot
+        self._identity = identity
         self._directory = directory
         self._peers = peers
         self._version = version
@@ -118,7 +118,9 @@
     def _newer_sources(self, known: int) -> list[core.Source]:
         """Return the proxies that have a newer configuration in force."""
         return [
-            core.Source(peer.beat.proxy, peer.beat.domain == self._spot.domain)
+            core.Source(
+                peer.beat.proxy, peer.beat.domain == self._identity.domain
+            )
             for peer in self._peers.alive()
             if peer.beat.config_version > known
         ]
--- a/src/tidegrade/session_proxy/_drain.py
+++ b/src/tidegrade/session_proxy/_drain.py
@@ -28,7 +28,7 @@
         adapters: _settings.Adapters,
         is_serving_others: Callable[[], bool],
     ) -> None:
-        self._door = adapters.door
+        self._listener = adapters.door
         self._clock = adapters.clock
         self._is_serving_others = is_serving_others
         #: Whether sessions are being closed because the process ends.
@@ -41,22 +41,22 @@
         limit = cfg.grace_s * GRACE_SHARE
         await anyio.sleep(min(cfg.unready_s, limit / 2))
         self.closing = True
-        self._door.close_after_answers(True)
+        self._listener.close_after_answers(True)
         left = limit - (self._clock.now() - started_at)
         with anyio.move_on_after(left - FINAL_CLOSE_S):
             await self._close_sessions()
         # A connection accepted from now on would be cut by the process end.
-        self._door.stop_accepting()
+        self._listener.stop_accepting()
         logs.write(
             logs.LogEvent.LISTENER_CLOSED,
             after_ms=round((self._clock.now() - started_at) * 1000),
-            in_flight=self._door.close_idle(),
+            in_flight=self._listener.close_idle(),
         )
         await anyio.sleep(CLOSE_CHECK_INTERVAL_S)
         with anyio.move_on_after(FINAL_CLOSE_S) as final:
             await self._close_sessions()
         if final.cancelled_caught:
-            still_open = self._door.close_idle()
+            still_open = self._listener.close_idle()
             logs.write(logs.LogEvent.DRAIN_LIMIT_REACHED, in_flight=still_open)
 
     async def _close_sessions(self) -> None:
@@ -64,5 +64,5 @@
 
         Requests that other proxies forwarded are waited for as well.
         """
-        while self._door.close_idle() or self._is_serving_others():
+        while self._listener.close_idle() or self._is_serving_others():
             await anyio.sleep(CLOSE_CHECK_INTERVAL_S)
--- a/src/tidegrade/session_proxy/_homes.py
+++ b/src/tidegrade/session_proxy/_homes.py
@@ -20,12 +20,12 @@
 
     def __init__(
         self,
-        spot: _roster.ProxyIdentity,
+        identity: _roster.ProxyIdentity,
         peers: _peers_task.PeersTask,
         clock: ports.Clock,
         by_tenant: Callable[[], bool] = lambda: False,
     ) -> None:
-        self._spot = spot
+        self._identity = identity
         self._peers = peers
         self._clock = clock
         self._by_tenant = by_tenant
@@ -44,12 +44,14 @@
         if not self._peers.has_vm_list:
             return core.Homes(False, 0)
         proxies = self._peers.candidates()
-        proxies.setdefault(self._spot.domain, set()).add(self._spot.proxy)
+        proxies.setdefault(self._identity.domain, set()).add(
+            self._identity.proxy
+        )
         found = core.homes(
             group,
             cfg,
-            self._spot.proxy,
-            self._spot.domain,
+            self._identity.proxy,
+            self._identity.domain,
             proxies,
             self._by_tenant(),
         )
@@ -81,7 +83,7 @@
             and not peer.beat.draining
         ]
         if serving:
-            found.append(self._spot.proxy)
+            found.append(self._identity.proxy)
         if not found:
             found = self._expected(key, cfg, tried)
         found = self._reachable(found)
@@ -138,6 +140,6 @@
         return self._peers.has_heartbeat_since(proxy, failed_at)
 
     def _cost(self, proxy: str) -> tuple[bool, int, bytes]:
-        far = self._peers.domain_of(proxy) != self._spot.domain
-        order = core.weight(self._spot.proxy, proxy)
+        far = self._peers.domain_of(proxy) != self._identity.domain
+        order = core.weight(self._identity.proxy, proxy)
         return (far, self._in_flight.get(proxy, 0), order)
--- a/src/tidegrade/session_proxy/_platform_watch.py
+++ b/src/tidegrade/session_proxy/_platform_watch.py
@@ -35,14 +35,14 @@
 
     def __init__(
         self,
-        spot: _roster.ProxyIdentity,
+        identity: _roster.ProxyIdentity,
         directory: ports.Directory,
         peers: _peers_task.PeersTask,
         version: Callable[[], int],
         clock: ports.Clock,
         config_within: float,
     ) -> None:
-        self._spot = spot
+        self._identity = identity
         self._directory = directory
         self._peers = peers
         self._version = version
@@ -180,7 +180,7 @@
         # Otherwise all proxies that start together would watch until their
         # first heartbeats arrive.
         starting = self._peers.starting()
-        return core.rank(WATCHED, self._spot.proxy, [*others, *starting])
+        return core.rank(WATCHED, self._identity.proxy, [*others, *starting])
 
 
 def _can_read_platform(peer: _roster.Peer) -> bool:
--- a/src/tidegrade/session_proxy/_proxy.py
+++ b/src/tidegrade/session_proxy/_proxy.py
@@ -150,9 +150,9 @@
         self._evidence = _evidence_task.EvidenceTask(
             deps, peers, lambda: self._groups
         )
-        spot = _roster.ProxyIdentity(deps.proxy_id, deps.domain)
+        identity = _roster.ProxyIdentity(deps.proxy_id, deps.domain)
         self._watch = _platform_watch.PlatformWatch(
-            spot,
+            identity,
             self._adapters.directory,
             peers,
             self._config_version,
@@ -160,7 +160,7 @@
             self._cfg.config_within_s,
         )
         fetch = _config_fetch.ConfigFetch(
-            spot,
+            identity,
             self._adapters.directory,
             peers,
             self._config_version,
@@ -174,7 +174,7 @@
             lambda: not self._all_have_rows(),
         )
         quotas = _quotas.Quotas(
-            spot,
+            identity,
             peers,
             deps.clock,
             self._config_version,
@@ -195,7 +195,7 @@
             deps.clock,
         )
         self._homes = _homes.HomeMap(
-            spot, peers, deps.clock, self._has_tenants
+            identity, peers, deps.clock, self._has_tenants
         )
         registration = _registration.Registration(deps, self._on_registered)
         self._generations = _generation_watch.GenerationWatch(
@@ -293,11 +293,11 @@
             self._adapters.door.close_on_refusal(
                 self._isolation.should_close_refused(now)
             )
-            all_go = self._isolation.should_close_idle(now)
+            close_idle = self._isolation.should_close_idle(now)
             self._adapters.door.close_after_answers(
-                all_go or self._drain.closing
+                close_idle or self._drain.closing
             )
-            if all_go:
+            if close_idle:
                 self._adapters.door.close_idle()
             await anyio.sleep(ISOLATION_CHECK_INTERVAL_S)
 
--- a/src/tidegrade/session_proxy/_routed_group.py
+++ b/src/tidegrade/session_proxy/_routed_group.py
@@ -83,7 +83,7 @@
         return core.Answer(
             core.Outcome.UNKNOWN,
             code=core.Code.UNCONFIRMED,
-            detail='the permission to acknowledge ended meanwhile',
+            detail='write permission ended before the write was acknowledged',
             trace=answer.trace,
         )
 
--- a/src/tidegrade/sessions/_operations.py
+++ b/src/tidegrade/sessions/_operations.py
@@ -124,7 +124,7 @@
 
 def _over_quota(admission: core.Admission) -> core.Answer:
     """Return the refusal of an operation over quota, with a retry time."""
-    detail = "no proxy that manages the tenant's quota answered"
+    detail = "no owner of the tenant's quota answered"
     if admission.owner:
         detail = (
             f'the tenant is over its quota according to {admission.owner}, '
--- a/tests/core/test_checked_reads.py
+++ b/tests/core/test_checked_reads.py
@@ -83,7 +83,7 @@
     assert checking.answers[1].outcome is core.Outcome.DONE
 
 
-def test_a_request_that_nobody_took_is_refused_early(checking):
+def test_an_unplaced_request_is_refused_early(checking):
     checking.tell(core.GiveUp(2))
     checking.read(
         1,
@@ -191,8 +191,8 @@
     grants = tuple(
         core.MemberGrant(name, 0, checking.now - 0.4) for name in 'ab'
     )
-    heard = core.Evidence(1, grants, 100, checking.now - 0.4)
-    checking.tell(core.EvidenceReceived(heard, checking.now))
+    evidence = core.Evidence(1, grants, 100, checking.now - 0.4)
+    checking.tell(core.EvidenceReceived(evidence, checking.now))
     assert checking.core.may_acknowledge(checking.now + 0.5)
     assert not checking.core.may_acknowledge(checking.now + 0.7)
 
--- a/tests/core/test_config_age.py
+++ b/tests/core/test_config_age.py
@@ -25,7 +25,7 @@
 
 
 def test_confirmations_of_an_older_version_do_not_count(age):
-    """A proxy with an older version has not heard of version 3 yet."""
+    """A proxy with an older version does not know of version 3 yet."""
     age.note_newest(2, 103.0, 104.0)
     assert age.age(104.0) == pytest.approx(4.0)
 
--- a/tests/daemon/test_gossip.py
+++ b/tests/daemon/test_gossip.py
@@ -259,7 +259,7 @@
 
     Heartbeats that arrive through two relays every half second are up to
     1.3 s old. If silence is counted from the time of sending, quotas get two
-    keepers and homes move.
+    owners and homes move.
     """
     network = Net()
     for number in range(count):
@@ -433,7 +433,7 @@
     other domains in full. The checksums did not match, but the relays could
     not pull, since they did not know the sender's address. For 16 s the
     domain's proxies saw 30 % of all proxies and granted that fraction of the
-    quotas that they kept.
+    quotas that they owned.
     """
     network = Net(cut='a')
     for number in range(60):
--- a/tests/daemon/test_quota_keepers.py
+++ b/tests/daemon/test_quota_owners.py
@@ -1,4 +1,4 @@
-"""The choice of the keeper that grants a workspace's operations."""
+"""The choice of the owner that grants a workspace's operations."""
 
 import random
 
@@ -92,7 +92,7 @@
         tenant = tenants.Tenant(name, frozenset(), 10.0, 10.0)
         return await self.quotas.admit(tenant, 0.0)
 
-    async def kept_here(self) -> list[str]:
+    async def owned_here(self) -> list[str]:
         """Return the workspaces whose operations are granted here."""
         found = []
         for name in NAMES:
@@ -108,22 +108,22 @@
     return Bench()
 
 
-async def test_each_proxy_keeps_a_part_of_the_workspaces(bench):
-    kept = await bench.kept_here()
-    assert 0 < len(kept) < len(NAMES) / 2
+async def test_each_proxy_owns_a_part_of_the_workspaces(bench):
+    owned = await bench.owned_here()
+    assert 0 < len(owned) < len(NAMES) / 2
 
 
 async def test_a_draining_proxy_grants_nothing_itself(bench):
-    """Guards against two keepers that both grant the full limit.
+    """Guards against two owners that both grant the full limit.
 
-    When a keeper drains, the other proxies use the next keeper as soon as
+    When a owner drains, the other proxies use the next owner as soon as
     its heartbeat says so. If the draining proxy still grants the operations of
     its own sessions, the limit is exceeded: 186 operations in 5 s at a limit
     of 25 per second, where 185 are tolerated.
     """
     bench.draining = True
     bench.quotas.update_proxies()
-    assert await bench.kept_here() == []
+    assert await bench.owned_here() == []
 
 
 async def test_a_draining_proxy_without_peers_still_grants(bench):
@@ -133,9 +133,9 @@
     assert (await bench.admit('t1')).granted
 
 
-async def test_a_silent_keeper_is_asked_again_after_a_heartbeat(bench):
-    kept = await bench.kept_here()
-    name = next(n for n in NAMES if n not in kept)
+async def test_a_silent_owner_is_asked_again_after_a_heartbeat(bench):
+    owned = await bench.owned_here()
+    name = next(n for n in NAMES if n not in owned)
     await bench.admit(name)
     usual = bench.peers.asked[-1]
     bench.peers.silent = True
@@ -149,7 +149,7 @@
     assert bench.peers.asked[-1] == usual
 
 
-async def test_keepers_behind_a_partition_are_not_asked(bench):
+async def test_owners_behind_a_partition_are_not_asked(bench):
     bench.clock.at += 1.3
     bench.peers.receive_heartbeats(domains='ab')
     bench.quotas.update_proxies()
--- a/tests/daemon/test_row_reader.py
+++ b/tests/daemon/test_row_reader.py
@@ -40,21 +40,21 @@
         return result.Ok('8')
 
 
-def keeper(table, known=NEW, in_turn=True) -> _row_reader.RowReader:
+def row_reader(table, known=NEW, in_turn=True) -> _row_reader.RowReader:
     return _row_reader.RowReader('k', table, lambda: known, lambda: in_turn)
 
 
 @pytest.mark.parametrize(('there', 'tag'), [(OLD, '7'), (None, None)])
 async def test_the_first_in_turn_restores_the_row_at_once(there, tag):
     table = Table(there)
-    found = (await keeper(table).read()).unwrap()
+    found = (await row_reader(table).read()).unwrap()
     assert _rows.decode_row(found.value).unwrap() == NEW
     assert table.expected == [tag]
 
 
 async def test_other_proxies_wait_for_the_first_in_turn():
     table = Table()
-    other = keeper(table, in_turn=False)
+    other = row_reader(table, in_turn=False)
     for _ in range(_row_reader.READS_BEFORE_TAKEOVER):
         assert (await other.read()).is_err()
     assert table.expected == []
@@ -62,7 +62,7 @@
 
 async def test_another_proxy_restores_the_row_after_the_wait():
     table = Table()
-    other = keeper(table, in_turn=False)
+    other = row_reader(table, in_turn=False)
     for _ in range(_row_reader.READS_BEFORE_TAKEOVER):
         await other.read()
     assert (await other.read()).is_ok()
@@ -72,11 +72,11 @@
 async def test_a_stale_row_is_never_returned():
     table = Table()
     table.conflict = True
-    assert (await keeper(table).read()).is_err()
+    assert (await row_reader(table).read()).is_err()
 
 
 @pytest.mark.parametrize('known', [None, OLD])
 async def test_a_row_that_is_not_stale_is_returned_unchanged(known):
     table = Table()
-    assert (await keeper(table, known).read()).is_ok()
+    assert (await row_reader(table, known).read()).is_ok()
     assert table.expected == []
--- a/tests/proofs/test_quota_model.py
+++ b/tests/proofs/test_quota_model.py
@@ -67,7 +67,7 @@
         self.suspected: dict[str, set[str]] = {}
         self.granted: list[float] = []
         self.started_at: dict[str, float] = {}
-        self._heard_at: dict[tuple[str, str], float] = {}
+        self._received_at: dict[tuple[str, str], float] = {}
         rng = random.Random(5)
         self._ages = {
             (one, other): rng.uniform(0, MAX_HEARTBEAT_AGE_S)
@@ -87,7 +87,7 @@
 
         A proxy that has just started also includes all listed proxies.
         """
-        found = self.heard(observer)
+        found = self.alive(observer)
         if self.started_at.get(observer, 0.0) >= self.now - DETECTION_S:
             return dict(PROXIES)
         return found
@@ -99,14 +99,14 @@
         near = {p: zone for p, zone in seen.items() if zone not in suspected}
         return near or seen
 
-    def heard(self, observer: str) -> dict[str, str]:
-        """Return the proxies heard from recently, including the proxy."""
+    def alive(self, observer: str) -> dict[str, str]:
+        """Return the proxies with recent heartbeats, including the proxy."""
         oldest = self.now - DETECTION_S
         return {
             proxy: zone
             for proxy, zone in PROXIES.items()
             if proxy == observer
-            or self._heard_at.get((observer, proxy), 0) >= oldest
+            or self._received_at.get((observer, proxy), 0) >= oldest
         }
 
     def restart(self, proxies: Iterable[str]) -> None:
@@ -126,8 +126,8 @@
                 for other in PROXIES:
                     if self.reaches(one, other):
                         sent = self.now - self._ages[one, other]
-                        heard_at = self._heard_at.get((one, other), 0.0)
-                        self._heard_at[one, other] = max(heard_at, sent)
+                        received_at = self._received_at.get((one, other), 0.0)
+                        self._received_at[one, other] = max(received_at, sent)
             self.policy.update(self)
             for receiver in PROXIES:
                 if receiver in self.down or receiver in self.frozen:
@@ -180,9 +180,9 @@
         return grant.granted
 
     def _part(self, owner: str, instead_of: str, model: Model) -> float:
-        heard = model.heard(owner)
-        starting = model.seen(owner).keys() - heard.keys()
-        count = sum(zone != instead_of for zone in heard.values())
+        alive = model.alive(owner)
+        starting = model.seen(owner).keys() - alive.keys()
+        count = sum(zone != instead_of for zone in alive.values())
         new = sum(PROXIES[proxy] != instead_of for proxy in starting)
         return core.visible_part(count, len(PROXIES), new)
 
--- a/tests/session_proxy/test_first_primary.py
+++ b/tests/session_proxy/test_first_primary.py
@@ -83,8 +83,10 @@
     created._evidence = _evidence_task.EvidenceTask(
         created._deps, created._peers, lambda: {}
     )
-    spot = _roster.ProxyIdentity('vm-1.0', 'a')
-    created._homes = _homes.HomeMap(spot, created._peers, created._deps.clock)
+    identity = _roster.ProxyIdentity('vm-1.0', 'a')
+    created._homes = _homes.HomeMap(
+        identity, created._peers, created._deps.clock
+    )
     created._watch = types.SimpleNamespace(announce_config=lambda: None)
     created._catalogue = CATALOGUE
     async with anyio.create_task_group() as tasks:
