--- a/src/tidegrade/core/_exchange.py
+++ b/src/tidegrade/core/_exchange.py
@@ -12,7 +12,7 @@
     )
 
 
-def to_follow(state: _state.GroupState, now: float) -> frozenset[str]:
+def replicas_to_repair(state: _state.GroupState, now: float) -> frozenset[str]:
     """Return the replicas that may not be following the primary.
 
     If a promise stops replication, these are the replicas that still report
--- a/src/tidegrade/core/_failover.py
+++ b/src/tidegrade/core/_failover.py
@@ -194,13 +194,13 @@
             return
         if seen.row is None or seen.row.primary not in seen.cfg.endpoints:
             return
-        if not seen.to_follow:
+        if not seen.replicas_to_repair:
             return
         self._last_follow_at = now
         primary = seen.cfg.endpoints[seen.row.primary]
         job = _jobs.FollowJob(primary.host, primary.port)
         for name in seen.cfg.endpoints:
-            if name in seen.to_follow:
+            if name in seen.replicas_to_repair:
                 self._run_control(name, job, now + CONTROL_LIMIT_S)
 
     # Steps ----------------------------------------------------------------
--- a/src/tidegrade/core/_group.py
+++ b/src/tidegrade/core/_group.py
@@ -145,9 +145,9 @@
         """Return the endpoints whose last attempts have not failed."""
         return _exchange.reachable(self._state)
 
-    def to_follow(self, now: float) -> frozenset[str]:
+    def replicas_to_repair(self, now: float) -> frozenset[str]:
         """Return the replicas that may not be following the primary."""
-        return _exchange.to_follow(self._state, now)
+        return _exchange.replicas_to_repair(self._state, now)
 
     def evidence(self) -> _evidence.Evidence:
         """Return this proxy's evidence, for other proxies."""
@@ -344,9 +344,9 @@
             return
         former, state.row = state.row, event.row
         if event.row.attempt is None:
-            state.outlook.change_ended(now)
+            state.recovery.change_ended(now)
         else:
-            state.outlook.change_began(now)
+            state.recovery.change_began(now)
         if former is not None and event.row.term > former.term:
             state.record_former_position(former)
         if former is None or event.row.term > former.term:
@@ -355,7 +355,7 @@
     def _new_term(self, row: _row.GroupRow, now: float) -> None:
         rules = _permission.PermissionRules(row.members)
         self._state.term_since = now
-        self._state.outlook.reset_outage(now)
+        self._state.recovery.reset_outage(now)
         self._state.permission.start_term(row.term, rules)
         self._state.samples.clear()
         self._abandon_other_endpoints(row.primary, now)
@@ -427,7 +427,7 @@
         self, event: _events.ProcessPaused, now: float
     ) -> None:
         self._reset_failure_detection(now)
-        self._state.outlook.reset_outage(now)
+        self._state.recovery.reset_outage(now)
         if event.seconds > _state.MAX_TRUSTED_PAUSE_S:
             self._state.paused_at = now
             self._state.emit(_events.FetchRow())
@@ -461,8 +461,8 @@
     def _cut_off_changed(
         self, event: _events.CutOffChanged, now: float
     ) -> None:
-        self._state.outlook.cut_off = event.cut_off
-        self._state.outlook.reset_outage(now)
+        self._state.recovery.cut_off = event.cut_off
+        self._state.recovery.reset_outage(now)
 
     def _drain_started(self, event: _events.DrainStarted, now: float) -> None:
         self._state.draining = True
@@ -504,7 +504,7 @@
 
     def _refuse_unservable(self, now: float) -> None:
         state = self._state
-        state.outlook.observe(state.may_acknowledge(now), now)
+        state.recovery.observe(state.may_acknowledge(now), now)
         for pending in self._registry.unservable(now):
             self._dispatcher.discard(pending)
             detail = 'no recovery expected within the time limit'
--- a/src/tidegrade/core/_registry.py
+++ b/src/tidegrade/core/_registry.py
@@ -67,7 +67,7 @@
         state = self._state
         if state.may_acknowledge(now):
             return []
-        expected = state.outlook.recovery_expected_at(now)
+        expected = state.recovery.recovery_expected_at(now)
         return [
             p
             for p in self._open.values()
@@ -147,7 +147,7 @@
             return None
         state = self._state
         if pending.needs_permission and not state.may_acknowledge(state.now):
-            return state.outlook.retry_after_s(
+            return state.recovery.retry_after_s(
                 pending.req.priority, state.now, state.rng
             )
         if code is _types.Code.NO_PRIMARY:
@@ -162,7 +162,7 @@
         return _shares.should_grow(
             waited=now - pending.arrived,
             service=self.service.mean,
-            age=now - self._state.outlook.first_observed_at,
+            age=now - self._state.recovery.first_observed_at,
         )
 
     def width(self) -> int:
--- a/src/tidegrade/core/_state.py
+++ b/src/tidegrade/core/_state.py
@@ -67,7 +67,7 @@
     paused_at: float | None = None
     polls_for_peers: bool = True
     draining: bool = False
-    outlook: _recovery.RecoveryEstimate = attrs.field(
+    recovery: _recovery.RecoveryEstimate = attrs.field(
         factory=_recovery.RecoveryEstimate
     )
     now: float = 0.0
--- a/src/tidegrade/core/_supervision.py
+++ b/src/tidegrade/core/_supervision.py
@@ -30,7 +30,7 @@
     opinions: tuple[_detector.Opinion, ...]
     peers: tuple[str, ...]
     leaving: frozenset[str]
-    to_follow: frozenset[str]
+    replicas_to_repair: frozenset[str]
     reachable: frozenset[str]
     gone: frozenset[str] = frozenset()
     settled: bool = True
--- a/src/tidegrade/core/_txns.py
+++ b/src/tidegrade/core/_txns.py
@@ -31,14 +31,14 @@
 class Transaction:
     """An open transaction.
 
-    ``line`` is the queue key of the requests that may use it, ``conn`` the
+    ``queue_key`` is that of the requests that may use it, ``conn`` the
     number of its connection. ``started_at`` and ``last_used_at`` are in
     seconds on the proxy's clock. ``pending`` is the request that is running
     in it, if any.
     """
 
     name: str
-    line: str
+    queue_key: str
     conn: int
     started_at: float
     last_used_at: float
@@ -184,7 +184,7 @@
         request is running, is refused.
         """
         txn = self._open.get(pending.req.txn)
-        if txn is None or txn.line != pending.req.queue_key:
+        if txn is None or txn.queue_key != pending.req.queue_key:
             self._registry.refuse(
                 pending,
                 _types.Code.TXN_UNKNOWN,
--- a/src/tidegrade/daemon/_group_task.py
+++ b/src/tidegrade/daemon/_group_task.py
@@ -310,7 +310,7 @@
                 opinions=self._peers.opinions(self.key),
                 peers=self._peers.serving_ids(self.key),
                 leaving=frozenset(leaving),
-                to_follow=self.machine.to_follow(now),
+                replicas_to_repair=self.machine.replicas_to_repair(now),
                 reachable=self.machine.reachable(),
                 gone=self.gone,
                 settled=now - self._started_at >= SETTLE_S,
--- a/src/tidegrade/session_proxy/_drain.py
+++ b/src/tidegrade/session_proxy/_drain.py
@@ -28,7 +28,7 @@
         adapters: _settings.Adapters,
         is_serving_others: Callable[[], bool],
     ) -> None:
-        self._listener = adapters.door
+        self._listener = adapters.listener
         self._clock = adapters.clock
         self._is_serving_others = is_serving_others
         #: Whether sessions are being closed because the process ends.
--- a/src/tidegrade/session_proxy/_endpoint_list.py
+++ b/src/tidegrade/session_proxy/_endpoint_list.py
@@ -74,7 +74,7 @@
             return messages.EndpointNews(max(0, self._known.version), b'')
         return self._news()
 
-    def heard(self, news: messages.EndpointNews) -> None:
+    def update(self, news: messages.EndpointNews) -> None:
         """Process a list that another proxy sent."""
         if not news.entries or news.version <= self._known.version:
             return
@@ -101,7 +101,7 @@
         if self._watch.watching:
             interval = (
                 BACKUP_WATCHER_INTERVAL_S
-                if self._watch.turn
+                if self._watch.rank
                 else FIRST_WATCHER_INTERVAL_S
             )
         return (
@@ -138,7 +138,7 @@
             question = messages.AskEndpoints(max(0, self._known.version))
             answer = await self._peers.fetch(proxy, question)
             if isinstance(answer, messages.EndpointNews):
-                self.heard(answer)
+                self.update(answer)
                 return self._known.version >= 0
         return False
 
--- a/src/tidegrade/session_proxy/_peer_service.py
+++ b/src/tidegrade/session_proxy/_peer_service.py
@@ -74,7 +74,7 @@
         elif isinstance(body, messages.AskEndpoints):
             return self._endpoints.answer(body)
         elif isinstance(body, messages.EndpointNews):
-            self._endpoints.heard(body)
+            self._endpoints.update(body)
         elif isinstance(body, messages.AskQuota):
             return self._quotas.answer(body)
         elif isinstance(body, messages.QuotaBack):
--- a/src/tidegrade/session_proxy/_platform_watch.py
+++ b/src/tidegrade/session_proxy/_platform_watch.py
@@ -49,12 +49,12 @@
         self._clock = clock
         self._age = core.ConfigAge(config_within)
         self._blind_until = float('-inf')
-        self.turn = 0
+        self.rank = 0
 
     @property
     def watching(self) -> bool:
         """Whether this proxy reads the platform on behalf of all."""
-        return self.turn < WATCHERS
+        return self.rank < WATCHERS
 
     @property
     def blind(self) -> bool:
@@ -120,7 +120,7 @@
         """
         now = self._clock.now()
         self._record_versions(now)
-        early = not self.blind and self.turn < 2 * WATCHERS
+        early = not self.blind and self.rank < 2 * WATCHERS
         if not self._age.should_read(early, now):
             return
         age = self._age.age(now)
@@ -128,7 +128,7 @@
             logs.LogEvent.CONFIG_UNCONFIRMED,
             known_version=self._version(),
             age_ms=None if age is None else round(age * 1000),
-            turn=self.turn,
+            turn=self.rank,
         )
         self._directory.read_now()
 
@@ -141,7 +141,7 @@
         if self.blind != was_blind:
             self._peers.send_heartbeat_now()
         was_watching = self.watching
-        self.turn = self._rank_among_watchers()
+        self.rank = self._rank_among_watchers()
         if self.watching != was_watching:
             self._log_turn()
         self._directory.watch(self.watching)
@@ -153,7 +153,7 @@
         alive = self._peers.alive()
         logs.write(
             event,
-            turn=self.turn,
+            turn=self.rank,
             blind=self.blind,
             others_alive=len(alive),
             others_seeing=sum(map(_can_read_platform, alive)),
--- a/src/tidegrade/session_proxy/_proxy.py
+++ b/src/tidegrade/session_proxy/_proxy.py
@@ -223,7 +223,7 @@
             await tasks.start(
                 self._adapters.pages.serve, self._ready, self._metrics_page
             )
-            await tasks.start(self._adapters.door.serve, self)
+            await tasks.start(self._adapters.listener.serve, self)
             await self._stopping.wait()
             # The heartbeat tells other proxies to forward no more requests.
             peers.send_heartbeat_now()
@@ -290,15 +290,15 @@
                 self._peers.last_heartbeat_outside(), permitted, now
             ):
                 self._on_isolation_changed(permitted)
-            self._adapters.door.close_on_refusal(
+            self._adapters.listener.close_on_refusal(
                 self._isolation.should_close_refused(now)
             )
             close_idle = self._isolation.should_close_idle(now)
-            self._adapters.door.close_after_answers(
+            self._adapters.listener.close_after_answers(
                 close_idle or self._drain.closing
             )
             if close_idle:
-                self._adapters.door.close_idle()
+                self._adapters.listener.close_idle()
             await anyio.sleep(ISOLATION_CHECK_INTERVAL_S)
 
     def _is_permitted(self, now: float) -> bool:
--- a/src/tidegrade/session_proxy/_settings.py
+++ b/src/tidegrade/session_proxy/_settings.py
@@ -59,7 +59,7 @@
     endpoints: ports.Endpoints
     table: ports.Table
     directory: ports.Directory
-    door: ports.CallerListener
+    listener: ports.CallerListener
     pages: ports.StatusPages
     clock: ports.Clock
     traits: core.Traits
--- a/standins/tidegrade_fakes/_world.py
+++ b/standins/tidegrade_fakes/_world.py
@@ -239,7 +239,9 @@
                     for n in self.machine.cfg.endpoints
                     if self.machine.leaving(n)
                 ),
-                to_follow=self.machine.to_follow(self.clock()),
+                replicas_to_repair=self.machine.replicas_to_repair(
+                    self.clock()
+                ),
                 reachable=self.machine.reachable(),
             )
         )
--- a/tests/core/test_checked_reads.py
+++ b/tests/core/test_checked_reads.py
@@ -166,9 +166,9 @@
     checking.new_term()
     for _ in range(20):
         checking.tick()
-    assert checking.core.to_follow(checking.now) == frozenset()
+    assert checking.core.replicas_to_repair(checking.now) == frozenset()
     checking.tick(_state.FENCE_RETENTION_S)
-    assert checking.core.to_follow(checking.now) == {'a', 'c'}
+    assert checking.core.replicas_to_repair(checking.now) == {'a', 'c'}
 
 
 def test_only_what_the_permission_needs_is_asked(checking):
--- a/tests/core/test_failover.py
+++ b/tests/core/test_failover.py
@@ -50,7 +50,7 @@
             'opinions': (),
             'peers': (),
             'leaving': frozenset(),
-            'to_follow': frozenset(),
+            'replicas_to_repair': frozenset(),
             'reachable': frozenset({'a', 'b', 'c'}),
             **changes,
         }
--- a/tests/core/test_membership.py
+++ b/tests/core/test_membership.py
@@ -27,7 +27,7 @@
         'opinions': (),
         'peers': (),
         'leaving': NONE,
-        'to_follow': NONE,
+        'replicas_to_repair': NONE,
         'reachable': frozenset(names),
         **changes,
     }
--- a/tests/session_proxy/test_endpoint_list.py
+++ b/tests/session_proxy/test_endpoint_list.py
@@ -34,7 +34,7 @@
     """Each watcher announces a change with a version of its own."""
     raw = _structure.to_json((ENTRY,))
     for version in (7, 8, 9):
-        task.heard(messages.EndpointNews(version, raw))
+        task.update(messages.EndpointNews(version, raw))
     assert learned == [(ENTRY,)]
     assert task.answer(messages.AskEndpoints(8)).version == 9
 
@@ -45,7 +45,7 @@
 
     listed: ports.EndpointList
     watching: bool = True
-    turn: int = 0
+    rank: int = 0
 
     async def endpoints(self):
         return result.Ok(self.listed)
--- a/tests/session_proxy/test_first_primary.py
+++ b/tests/session_proxy/test_first_primary.py
@@ -67,7 +67,7 @@
         endpoints=Endpoints(),
         table=Table(),
         directory=None,
-        door=None,
+        listener=None,
         pages=None,
         clock=_clock.MonotonicClock(),
         traits=core.Traits(),
