--- a/src/tidegrade/daemon/_peers_task.py
+++ b/src/tidegrade/daemon/_peers_task.py
@@ -122,10 +122,10 @@
 
     def silent_addresses(self) -> list[str]:
         """Return the listed or known addresses without an alive peer."""
-        alive = {peer.address for peer in self.alive()}
+        alive_addresses = {peer.address for peer in self.alive()}
         return [
             f'{address.host}:{address.port}'
-            for address in self._roster.addresses() - alive
+            for address in self._roster.addresses() - alive_addresses
         ]
 
     def serving(self, key: messages.GroupKey) -> list[_roster.Peer]:
--- a/src/tidegrade/session_proxy/_proxy.py
+++ b/src/tidegrade/session_proxy/_proxy.py
@@ -293,11 +293,11 @@
             self._adapters.listener.close_on_refusal(
                 self._isolation.should_close_refused(now)
             )
-            close_idle = self._isolation.should_close_idle(now)
+            close_all_idle = self._isolation.should_close_idle(now)
             self._adapters.listener.close_after_answers(
-                close_idle or self._drain.closing
+                close_all_idle or self._drain.closing
             )
-            if close_idle:
+            if close_all_idle:
                 self._adapters.listener.close_idle()
             await anyio.sleep(ISOLATION_CHECK_INTERVAL_S)
 
