--- a/src/tidegrade/logs/_events.py
+++ b/src/tidegrade/logs/_events.py
@@ -31,7 +31,7 @@
     RELOADED = (1007, logging.INFO, 'the settings were reloaded')
     RELOAD_REFUSED = (1008, logging.ERROR, 'new settings are unusable')
     SESSION_CLOSED = (1009, logging.INFO, 'an idle session was closed')
-    LISTENER_CLOSED = (1010, logging.INFO, 'new sessions are rejected')
+    LISTENER_CLOSED = (1010, logging.INFO, 'no new sessions are accepted')
     REGISTERED = (
         1101,
         logging.INFO,
@@ -52,7 +52,7 @@
     ROWS_RECHECKED = (
         1106,
         logging.WARNING,
-        'the rows of this proxy are checked after a restore of the store',
+        'entries of this proxy are read again after a restore of the store',
     )
     CONFIG_ADOPTED = (1201, logging.INFO, 'a configuration is in force')
     CONFIG_OLDER_IN_STORE = (
@@ -110,7 +110,7 @@
         logging.WARNING,
         'this proxy requests the promotion of an endpoint',
     )
-    PEER_REFUSED = (1401, logging.WARNING, 'a peer failed authentication')
+    PEER_REFUSED = (1401, logging.WARNING, 'input from a peer was rejected')
     PEER_SILENT = (
         1404,
         logging.WARNING,
--- a/tests/daemon/test_quota_owners.py
+++ b/tests/daemon/test_quota_owners.py
@@ -116,7 +116,7 @@
 async def test_a_draining_proxy_grants_nothing_itself(bench):
     """Guards against two owners that both grant the full limit.
 
-    When a owner drains, the other proxies use the next owner as soon as
+    When an owner drains, the other proxies use the next owner as soon as
     its heartbeat says so. If the draining proxy still grants the operations of
     its own sessions, the limit is exceeded: 186 operations in 5 s at a limit
     of 25 per second, where 185 are tolerated.
