--- a/src/tidegrade/daemon/_group_task.py
+++ b/src/tidegrade/daemon/_group_task.py
@@ -250,7 +250,7 @@
         if seconds - planned <= core.MAX_SCHEDULING_DELAY_S:
             return
         logs.write_bounded(
-            logs.LogEvent.PAUSED,
+            logs.LogEvent.PROCESS_PAUSED,
             group=str(self.key),
             seconds=round(seconds, 3),
         )
@@ -310,7 +310,7 @@
                 opinions=self._peers.opinions(self.key),
                 peers=self._peers.serving_ids(self.key),
                 leaving=frozenset(leaving),
-                to_follow=self.machine.to_follow(now),
+                replicas_to_repair=self.machine.replicas_to_repair(now),
                 reachable=self.machine.reachable(),
                 gone=self.gone,
                 settled=now - self._started_at >= SETTLE_S,
@@ -357,7 +357,7 @@
             'term': own.term,
         }
         if not own.primary_down:
-            logs.write(logs.LogEvent.PRIMARY_ANSWERS, **fields)
+            logs.write(logs.LogEvent.PRIMARY_NOT_DOWN, **fields)
             return
         view = self.machine.views[row.primary]
         logs.write(
--- a/src/tidegrade/http_proxy/_proxy.py
+++ b/src/tidegrade/http_proxy/_proxy.py
@@ -152,7 +152,8 @@
                 await anyio.sleep(DRAIN_POLL_S)
         if scope.cancelled_caught:
             logs.write(
-                logs.LogEvent.DRAIN_CUT, in_flight=self._service.in_flight
+                logs.LogEvent.DRAIN_LIMIT_REACHED,
+                in_flight=self._service.in_flight,
             )
         # The server stops after it has sent its last responses.
         self._server.should_exit = True
--- a/src/tidegrade/session_proxy/_config_fetch.py
+++ b/src/tidegrade/session_proxy/_config_fetch.py
@@ -55,13 +55,13 @@
 
     def __init__(
         self,
-        spot: _roster.ProxyIdentity,
+        identity: _roster.ProxyIdentity,
         directory: ports.Directory,
         peers: _peers_task.PeersTask,
         version: Callable[[], int],
         rng: random.Random,
     ) -> None:
-        self._spot = spot
+        self._identity = identity
         self._directory = directory
         self._peers = peers
         self._version = version
@@ -118,7 +118,9 @@
     def _newer_sources(self, known: int) -> list[core.Source]:
         """Return the proxies that have a newer configuration in force."""
         return [
-            core.Source(peer.beat.proxy, peer.beat.domain == self._spot.domain)
+            core.Source(
+                peer.beat.proxy, peer.beat.domain == self._identity.domain
+            )
             for peer in self._peers.alive()
             if peer.beat.config_version > known
         ]
@@ -133,7 +135,7 @@
         took_ms = round((anyio.current_time() - asked_at) * 1000)
         if not isinstance(answer, messages.ConfigContent):
             logs.write_bounded(
-                logs.LogEvent.CONFIG_NOT_GOT,
+                logs.LogEvent.CONFIG_FETCH_FAILED,
                 peer=proxy,
                 known_version=known,
                 took_ms=took_ms,
@@ -172,7 +174,7 @@
             return
         self._logged_version = newest
         logs.write(
-            logs.LogEvent.CONFIG_HEARD_OF,
+            logs.LogEvent.CONFIG_ANNOUNCED,
             peer=proxy,
             version=newest,
             known_version=known,
--- a/src/tidegrade/session_proxy/_proxy.py
+++ b/src/tidegrade/session_proxy/_proxy.py
@@ -150,9 +150,9 @@
         self._evidence = _evidence_task.EvidenceTask(
             deps, peers, lambda: self._groups
         )
-        spot = _roster.ProxyIdentity(deps.proxy_id, deps.domain)
+        identity = _roster.ProxyIdentity(deps.proxy_id, deps.domain)
         self._watch = _platform_watch.PlatformWatch(
-            spot,
+            identity,
             self._adapters.directory,
             peers,
             self._config_version,
@@ -160,7 +160,7 @@
             self._cfg.config_within_s,
         )
         fetch = _config_fetch.ConfigFetch(
-            spot,
+            identity,
             self._adapters.directory,
             peers,
             self._config_version,
@@ -174,7 +174,7 @@
             lambda: not self._all_have_rows(),
         )
         quotas = _quotas.Quotas(
-            spot,
+            identity,
             peers,
             deps.clock,
             self._config_version,
@@ -195,7 +195,7 @@
             deps.clock,
         )
         self._homes = _homes.HomeMap(
-            spot, peers, deps.clock, self._has_tenants
+            identity, peers, deps.clock, self._has_tenants
         )
         registration = _registration.Registration(deps, self._on_registered)
         self._generations = _generation_watch.GenerationWatch(
@@ -223,7 +223,7 @@
             await tasks.start(
                 self._adapters.pages.serve, self._ready, self._metrics_page
             )
-            await tasks.start(self._adapters.door.serve, self)
+            await tasks.start(self._adapters.listener.serve, self)
             await self._stopping.wait()
             # The heartbeat tells other proxies to forward no more requests.
             peers.send_heartbeat_now()
@@ -290,15 +290,15 @@
                 self._peers.last_heartbeat_outside(), permitted, now
             ):
                 self._on_isolation_changed(permitted)
-            self._adapters.door.close_on_refusal(
+            self._adapters.listener.close_on_refusal(
                 self._isolation.should_close_refused(now)
             )
-            all_go = self._isolation.should_close_idle(now)
-            self._adapters.door.close_after_answers(
-                all_go or self._drain.closing
+            close_all_idle = self._isolation.should_close_idle(now)
+            self._adapters.listener.close_after_answers(
+                close_all_idle or self._drain.closing
             )
-            if all_go:
-                self._adapters.door.close_idle()
+            if close_all_idle:
+                self._adapters.listener.close_idle()
             await anyio.sleep(ISOLATION_CHECK_INTERVAL_S)
 
     def _is_permitted(self, now: float) -> bool:
@@ -309,7 +309,9 @@
     def _on_isolation_changed(self, permitted: bool) -> None:
         cut_off = self._isolation.cut_off
         logs.write(
-            logs.LogEvent.CUT_OFF if cut_off else logs.LogEvent.IN_TOUCH,
+            logs.LogEvent.DOMAIN_ISOLATED
+            if cut_off
+            else logs.LogEvent.DOMAIN_CONNECTED,
             silence_ms=round(self._isolation.silence * 1000),
             usual_ms=round(self._isolation.silence_limit_s * 1000),
             permitted=permitted,
