--- a/src/tidegrade/core/_state.py
+++ b/src/tidegrade/core/_state.py
@@ -219,7 +219,7 @@
         """Open a connection if permitted; return whether one will open.
 
         If connections belong to tenants, an idle connection of another
-        tenant is closed to make room. ``pressed`` means that requests have
+        tenant is closed to make room. ``grow`` means that requests have
         waited for a connection.
         """
         if self.pool.opening_for(name, tenant):
--- a/src/tidegrade/core/_supervision.py
+++ b/src/tidegrade/core/_supervision.py
@@ -16,11 +16,11 @@
 
     ``leaving`` are the endpoints that the VM list marks for draining.
     ``peers`` are the proxies with recent heartbeats, and ``opinions`` are
-    their opinions on the primary. ``to_follow`` are the endpoints that
-    possibly don't follow the primary, ``reachable`` those whose latest
-    requests from this proxy have not failed, and ``gone`` those that have
-    been missing from the VM list for a long time. ``settled`` is true once
-    the heartbeats of the other proxies have had time to arrive.
+    their opinions on the primary. ``replicas_to_repair`` are the endpoints
+    that possibly don't follow the primary, ``reachable`` those whose latest
+    requests from this proxy have not failed, and ``gone`` those that no
+    list has named for a long time. ``settled`` is true once the heartbeats
+    of the other proxies have had time to arrive.
     """
 
     cfg: config.Group
--- a/src/tidegrade/core/_view.py
+++ b/src/tidegrade/core/_view.py
@@ -24,7 +24,7 @@
 
     All points in time and durations are in seconds. ``sent_at`` is the time
     at which the request for the last report was sent, so the report is at
-    least as fresh as that. ``seen_at`` is the time of the last answer.
+    least as fresh as that. ``last_answer_at`` is the time of the last answer.
     ``read_time`` is the moving average of the duration of reads, last
     measured at ``read_at``. Until ``behind_until`` the endpoint is assumed
     to lack the data that reads require, because it has refused one for that
