--- a/src/tidegrade/core/_state.py
+++ b/src/tidegrade/core/_state.py
@@ -67,7 +67,7 @@
     paused_at: float | None = None
     polls_for_peers: bool = True
     draining: bool = False
-    outlook: _recovery.RecoveryEstimate = attrs.field(
+    recovery: _recovery.RecoveryEstimate = attrs.field(
         factory=_recovery.RecoveryEstimate
     )
     now: float = 0.0
@@ -219,7 +219,7 @@
         """Open a connection if permitted; return whether one will open.
 
         If connections belong to tenants, an idle connection of another
-        tenant is closed to make room. ``pressed`` means that requests have
+        tenant is closed to make room. ``grow`` means that requests have
         waited for a connection.
         """
         if self.pool.opening_for(name, tenant):
--- a/src/tidegrade/session_proxy/_platform_watch.py
+++ b/src/tidegrade/session_proxy/_platform_watch.py
@@ -35,26 +35,26 @@
 
     def __init__(
         self,
-        spot: _roster.ProxyIdentity,
+        identity: _roster.ProxyIdentity,
         directory: ports.Directory,
         peers: _peers_task.PeersTask,
         version: Callable[[], int],
         clock: ports.Clock,
         config_within: float,
     ) -> None:
-        self._spot = spot
+        self._identity = identity
         self._directory = directory
         self._peers = peers
         self._version = version
         self._clock = clock
         self._age = core.ConfigAge(config_within)
         self._blind_until = float('-inf')
-        self.turn = 0
+        self.rank = 0
 
     @property
     def watching(self) -> bool:
         """Whether this proxy reads the platform on behalf of all."""
-        return self.turn < WATCHERS
+        return self.rank < WATCHERS
 
     @property
     def blind(self) -> bool:
@@ -120,15 +120,15 @@
         """
         now = self._clock.now()
         self._record_versions(now)
-        early = not self.blind and self.turn < 2 * WATCHERS
+        early = not self.blind and self.rank < 2 * WATCHERS
         if not self._age.should_read(early, now):
             return
         age = self._age.age(now)
         logs.write(
-            logs.LogEvent.CONFIG_UNPROVEN,
+            logs.LogEvent.CONFIG_UNCONFIRMED,
             known_version=self._version(),
             age_ms=None if age is None else round(age * 1000),
-            turn=self.turn,
+            turn=self.rank,
         )
         self._directory.read_now()
 
@@ -141,19 +141,19 @@
         if self.blind != was_blind:
             self._peers.send_heartbeat_now()
         was_watching = self.watching
-        self.turn = self._rank_among_watchers()
+        self.rank = self._rank_among_watchers()
         if self.watching != was_watching:
             self._log_turn()
         self._directory.watch(self.watching)
 
     def _log_turn(self) -> None:
-        event = logs.LogEvent.WATCH_LEFT
+        event = logs.LogEvent.WATCH_STOPPED
         if self.watching:
-            event = logs.LogEvent.WATCH_TAKEN
+            event = logs.LogEvent.WATCH_STARTED
         alive = self._peers.alive()
         logs.write(
             event,
-            turn=self.turn,
+            turn=self.rank,
             blind=self.blind,
             others_alive=len(alive),
             others_seeing=sum(map(_can_read_platform, alive)),
@@ -180,7 +180,7 @@
         # Otherwise all proxies that start together would watch until their
         # first heartbeats arrive.
         starting = self._peers.starting()
-        return core.rank(WATCHED, self._spot.proxy, [*others, *starting])
+        return core.rank(WATCHED, self._identity.proxy, [*others, *starting])
 
 
 def _can_read_platform(peer: _roster.Peer) -> bool:
--- a/tests/core/test_checked_reads.py
+++ b/tests/core/test_checked_reads.py
@@ -83,7 +83,7 @@
     assert checking.answers[1].outcome is core.Outcome.DONE
 
 
-def test_a_request_that_nobody_took_is_refused_early(checking):
+def test_an_unplaced_request_is_refused_early(checking):
     checking.tell(core.GiveUp(2))
     checking.read(
         1,
@@ -166,9 +166,9 @@
     checking.new_term()
     for _ in range(20):
         checking.tick()
-    assert checking.core.to_follow(checking.now) == frozenset()
+    assert checking.core.replicas_to_repair(checking.now) == frozenset()
     checking.tick(_state.FENCE_RETENTION_S)
-    assert checking.core.to_follow(checking.now) == {'a', 'c'}
+    assert checking.core.replicas_to_repair(checking.now) == {'a', 'c'}
 
 
 def test_only_what_the_permission_needs_is_asked(checking):
@@ -191,8 +191,8 @@
     grants = tuple(
         core.MemberGrant(name, 0, checking.now - 0.4) for name in 'ab'
     )
-    heard = core.Evidence(1, grants, 100, checking.now - 0.4)
-    checking.tell(core.EvidenceReceived(heard, checking.now))
+    evidence = core.Evidence(1, grants, 100, checking.now - 0.4)
+    checking.tell(core.EvidenceReceived(evidence, checking.now))
     assert checking.core.may_acknowledge(checking.now + 0.5)
     assert not checking.core.may_acknowledge(checking.now + 0.7)
 
